--- a/modules/filbert_dispatch/admission_desk.cpp
+++ b/modules/filbert_dispatch/admission_desk.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-constexpr milliseconds callerSpan {1'500}; // three missed hellos
-constexpr milliseconds answerGrace {250}; // on top of the service's own time: many round trips
-constexpr std::size_t callersForQuick = 3; // one in so many is kept for quick policies
-// A request of a lower class goes before later ones of a higher class after so long, for each class
-// between them: gangs that renew tickets all the time would keep lower work from any call.
+constexpr milliseconds callerSpan {1'500}; // three missed hellos: no request for that process
+constexpr milliseconds answerGrace {250}; // added to the expected duration: many round trips
+constexpr std::size_t callersForQuick = 3; // one caller in so many is kept free for quick policies
+// A request goes before those of higher priority that were made later than this, per priority level
+// between them. Otherwise gangs that renew their tickets all the time would keep lower work from
+// any call.
 constexpr milliseconds agePerClass {500};
 
 std::vector<std::string> freeCallers(const dispatch_state &state, time_point now)
@@ -58,7 +59,7 @@
     state.effects.admissions.push_back(std::move(call));
 }
 
-/** A request of a step that needs it no more ends without an answer. */
+/** Discards a request of a step that no longer needs it; there was no answer. */
 void dropRequest(dispatch_state &state, const task_name &step)
 {
     const auto view = state.admissions.find(step);
@@ -79,7 +80,7 @@
                 .with("caller", open.caller);
             const auto caller = state.callers.find(open.caller);
             if (caller != state.callers.end()) {
-                caller->second.heardAt = {}; // not before its next hello
+                caller->second.heardAt = {}; // no further request before its next hello
             }
             release(state, open.caller, id);
             open.caller.clear();
@@ -151,7 +152,7 @@
     if (std::exchange(caller.process, process) != process) {
         for (auto &[id, open] : state.openAdmissions) {
             if (open.caller == name) {
-                open.caller.clear(); // stepAdmissions() sends it to another
+                open.caller.clear(); // tickAdmissions() sends it to another
             }
         }
         caller.openRequest = 0;
@@ -173,7 +174,7 @@
     auto &open = found->second;
     release(state, open.caller, answer.id());
     if (!answer.is_answered()) {
-        open.caller.clear(); // stepAdmissions() sends it to another
+        open.caller.clear(); // tickAdmissions() sends it to another
         return;
     }
     auto &view = state.admissions[open.step];
--- a/modules/filbert_dispatch/admission_desk.h
+++ b/modules/filbert_dispatch/admission_desk.h
@@ -4,51 +4,51 @@
 
 namespace filbert {
 
-/** A call that takes no longer is one that urgent steps can wait for. */
+/** The duration of a call of the policy service up to which urgent steps can wait for it. */
 constexpr milliseconds quickAdmission {100};
 
-/** Asks the policy service which targets may run a step, unless that is being asked already.
+/** Requests tickets for a step from the policy service, unless a request of it is pending.
 
-    The service takes one call at a time from each process, so that calls are spread over those that
-    have said hello; a part of these is kept for policies that decide quickly.
+    The service takes one call at a time from each process, so that calls are spread over the
+    registered callers. Some of these are kept free for policies that decide quickly.
 
     @param step     index 0
-    @param targets  to name, the most wanted first
-    @param perCall  most that one call names: further ones go into calls at the same time
+    @param targets  to name in the request, the preferred ones first
+    @param perCall  the maximum number of targets in one call; further ones go into parallel calls
 */
 void requestAdmission(dispatch_state &state, const task_name &step,
                       const messages::work_queue &queue, const std::vector<std::string> &targets,
                       std::size_t perCall, time_point now);
 
-/** A process said that it can call the policy service.
+/** Registers a process that can call the policy service, or notes that it is still there.
     @param name     of the process
-    @param process  differs between two processes of one name: what the one before was asked goes
-                    to another at once
+    @param process  distinguishes processes of the same name: if it has changed, the requests of the
+                    previous process go to other callers at once
 */
 void takeCaller(dispatch_state &state, const std::string &name, std::uint64_t process,
                 time_point now);
 
-/** A process said that it calls the policy service no more: it stops. What it was asked, it
- * answers. */
+/** Unregisters a process that stops calling the policy service. It still answers the request that
+   it has. */
 void dropCaller(dispatch_state &state, const std::string &name);
 
-/** Takes what the service said. */
+/** Handles the answer of the policy service to a request. */
 void takeAdmission(dispatch_state &state, const messages::admission_answer &answer, time_point now);
 
-/** Sends waiting requests to free processes, and those without an answer to others. */
+/** Sends waiting requests to free callers, and overdue ones to other callers. */
 void stepAdmissions(dispatch_state &state, time_point now);
 
-/** @return processes that could make a call of a costly policy now */
+/** @return how many callers are free for a call of a costly policy now */
 std::size_t spareCallers(const dispatch_state &state, time_point now);
 
-/** @return the time that the service takes for a call */
+/** @return the expected duration of a call that names so many targets */
 milliseconds admissionTime(const messages::admission_policy &policy, std::size_t targets);
 
-/** Whether a ticket is good for a start that is decided now. */
+/** Whether a start that is decided now can reach its target before the ticket expires. */
 bool isUsable(const dispatch_state &state, const admission_view::ticket &ticket,
               const messages::admission_policy &policy, time_point now);
 
-/** @return the ticket for a target if it is good for a start now, else nullptr */
+/** @return the ticket for a target if it can be used for a start now, else nullptr */
 const std::string *usableTicket(const dispatch_state &state, const admission_view &view,
                                 const messages::admission_policy &policy, const std::string &target,
                                 time_point now);
--- a/modules/filbert_dispatch/dispatch_state.cpp
+++ b/modules/filbert_dispatch/dispatch_state.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr milliseconds forgetPeriod {5'000}; // far below the retention that it serves
-constexpr std::size_t stepsPerMillisecond = 4; // waiting steps that a pass looks at in that time
-constexpr std::size_t targetsPerMillisecond = 50; // a pass looks at each once
-constexpr milliseconds longestPassPause {40}; // a small part of the shortest latency objective
-constexpr int idBitsBelowTerm = 32; // 2^32 requests a term
-constexpr int jobsForgottenAtOnce = 500; // an entry of some 10 kB
+constexpr milliseconds forgetPeriod {5'000}; // far below the retention of jobs
+constexpr std::size_t stepsPerMillisecond = 4; // pending steps that a pass goes through in a ms
+constexpr std::size_t targetsPerMillisecond = 50; // that a pass collects in a ms, each once
+constexpr milliseconds longestPassPause {40}; // a small fraction of the shortest latency objective
+constexpr int idBitsBelowTerm = 32; // leaves 2^32 request ids per term
+constexpr int jobsForgottenAtOnce = 500; // keeps the entry of the log at some 10 kB
 
 void afterStart(dispatch_state &state, const messages::start_run_command &start, bool refused,
                 time_point now)
@@ -60,7 +60,8 @@
     }
 }
 
-/** Brings a target in line with its life; where that has ended, its runs' jobs wait again. */
+/** Updates the view of a target from its record, and the jobs of its runs: if its incarnation has
+    ended, their tasks wait again. */
 void syncEnded(dispatch_state &state, const std::string &id, time_point now)
 {
     std::set<std::string> jobs;
@@ -79,7 +80,8 @@
 void afterTarget(dispatch_state &state, const messages::target_life &life, time_point now)
 {
     syncEnded(state, life.id(), now);
-    std::vector<std::string> ended; // a life at the same address may have ended with this one
+    // A new registration may have ended another target at the same address.
+    std::vector<std::string> ended;
     for (const auto &[id, target] : state.targets) {
         const auto known = state.work->lives.find(id);
         if (known != state.work->lives.end() && known->second.isOver) {
@@ -171,7 +173,7 @@
     state.settings = settings;
     state.work = &work;
     state.term = term;
-    state.lastAdmission = term << idBitsBelowTerm; // answers of earlier terms fit no request
+    state.lastAdmission = term << idBitsBelowTerm; // answers of earlier terms match no request
     state.leadingSince = now;
     state.forgetAt = now + forgetPeriod;
     for (const auto &[id, life] : work.lives) {
--- a/modules/filbert_dispatch/interference.cpp
+++ b/modules/filbert_dispatch/interference.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-// A tail is a rough figure of the last half second, so that the bounds leave room on both sides.
+// A tail latency is a rough figure from the last half second: the thresholds leave a margin on both
+// sides.
 constexpr double nearTarget = 0.85;
 constexpr double calmTail = 0.6;
-constexpr int paceStep = 25; // percent, upwards: four calm looks until full work
+constexpr int paceStep = 25; // percent, upwards: four calm polls until the full work rate
 constexpr int fullPace = 100;
 
 } // namespace
--- a/modules/filbert_dispatch/interference.h
+++ b/modules/filbert_dispatch/interference.h
@@ -4,18 +4,18 @@
 
 namespace filbert {
 
-/** Slows tasks that fill gaps down where a task that serves beside them nears its latency target,
-    and lets them work again by steps once it is calm.
+/** Lowers the work rate of best-effort runs on a target while a latency-sensitive run there is near
+    its latency target, and raises it again step by step afterwards.
 
-    @param target  as its last look has shown it
+    @param target  as its last poll has shown it
 */
 void reviewInterference(dispatch_state &state, target_conversation &target, time_point now);
 
-/** Decides at which share tasks that fill should work.
+/** Decides the work rate of best-effort runs on a target.
 
-    @param worstTail  the largest tail of a serving task there, as a part of its target
-    @param pace       percent at which they work now
-    @return percent at which they should work from now on
+    @param worstTail  the largest tail latency of a run there, as a fraction of its latency target
+    @param pace       the present work rate in percent
+    @return the new work rate in percent
 */
 int nextPace(double worstTail, int pace);
 
--- a/modules/filbert_dispatch/placement_pass.cpp
+++ b/modules/filbert_dispatch/placement_pass.cpp
@@ -8,11 +8,13 @@
 
 namespace {
 
-constexpr double fillShare = 0.6; // of the cores that a task which fills gaps should find unused
+constexpr double fillShare = 0.6; // fraction of its cores that a best-effort task must find unused
 
-// Parts of fitCost(), in accelerators left idle: the unit that packing is about.
-constexpr double farFromDataCost = 20.0; // half as long again: more than any packing gains
-constexpr double sameTargetCost = 4.0; // of tasks that last: one target's end must not take many
+// Terms of fitCost(). Their unit is an accelerator left idle, which packing is to avoid.
+constexpr double farFromDataCost =
+    20.0; // a task runs half as long again: more than any packing gains
+constexpr double sameTargetCost =
+    4.0; // of long-running tasks: the end of one target must not stop many
 
 bool hasLabel(const room_view &room, const std::string &label)
 {
@@ -158,7 +160,7 @@
     const auto &team = step.job->job.team();
     const auto *configured = findTeam(pass.state.work->configuration, team);
     if (configured == nullptr) {
-        return true; // an open queue
+        return true; // the queue is open to all, so that the job has no team
     }
     auto use = timesOf(wholeNeedOf(*step.spec), tasks);
     const auto add = [&](const std::map<std::string, resource_amounts> &uses) {
--- a/modules/filbert_dispatch/preemption.cpp
+++ b/modules/filbert_dispatch/preemption.cpp
@@ -10,17 +10,20 @@
 
 namespace {
 
-// A stop, a restore and another wait for room and a ticket, twice over.
+// Twice the time for a stop, a restore and another wait for capacity and a ticket.
 constexpr milliseconds slackToSpare {4'000};
-// A stop, the renewal of tickets and a start take 2 s; before, most gangs find room by themselves.
+// A stop, the renewal of tickets and a start take 2 s. With more slack than this, most gangs find
+// capacity without preemption.
 constexpr milliseconds slackOfUrgency {5'000};
-constexpr std::uint32_t mostRuns = 4; // of a task that may be stopped once more: it has to end too
+constexpr std::uint32_t mostRuns =
+    4; // of a task that may be stopped again: it has to complete at some time
 
-/** A target that will have room for one member more. */
+/** How a target gets the capacity for one more member. */
 struct room_plan
 {
     room_view *room = nullptr;
-    std::vector<task_name> victims; // to be stopped for that; none = it has room, or will have
+    std::vector<task_name> victims; // runs to stop; none = it has the capacity, or runs there are
+                                    // already being stopped
 };
 
 bool isStopping(const run_view &run)
@@ -48,7 +51,8 @@
     return reservedBy(specOf(pass.state.work->jobs.at(task.job), task.step));
 }
 
-/** @return the runs to stop for one member, the largest first, or nothing if that is not enough */
+/** @return the runs to stop for one member, chosen from the largest on, or nothing if stopping all
+    of them would not be enough */
 std::optional<room_plan> planRoom(const placement_pass &pass, const open_step &step,
                                   room_view &room)
 {
@@ -105,7 +109,8 @@
     for (const auto &plan : plans) {
         plan.room->reservedRank = step.rank;
         for (const auto &task : plan.victims) {
-            requestStop(pass.state, task, "a gang of a higher class needs its room", pass.now);
+            requestStop(pass.state, task, "a gang of a higher priority needs its capacity",
+                        pass.now);
         }
     }
     return true;
--- a/modules/filbert_dispatch/preemption.h
+++ b/modules/filbert_dispatch/preemption.h
@@ -4,18 +4,19 @@
 
 namespace filbert {
 
-/** Makes room for a gang that found none, by stopping checkpointed work of lower classes.
+/** Frees capacity for a gang that found none, by stopping checkpointed runs of lower priority.
 
-    The load that it answers: many small tasks with a lot of slack hold one accelerator each on
-    nearly all targets, so that no target has room for a member which needs several at once. What is
-    stopped resumes elsewhere from the checkpoint that its stop saves. Nothing is stopped unless
-    that makes room for all members, and nothing that lasts, is a gang's, or could be late by it.
+    This is for the case that many small tasks with much slack hold one accelerator each on nearly
+    all targets, so that no target has capacity for a member which needs several at once. A stopped
+    task resumes elsewhere from the checkpoint that its stop saves. Runs are stopped only if that
+    frees capacity for all members; runs of long-running steps, of gangs and those that could become
+    late are never stopped.
 
-    Rooms that the gang will get are kept from lower work in this pass.
+    The targets meant for the gang are reserved for it during this pass.
 
-    @param step     a gang with waiting members and, where its policy asks for them, tickets
+    @param step     a gang with waiting members and, if its queue has a policy, with tickets
     @param members  how many start together
-    @return whether there will be room for all of them
+    @return whether there will be capacity for all members
 */
 bool preemptFor(placement_pass &pass, const open_step &step, service_view &service,
                 std::size_t members);
--- a/modules/filbert_dispatch/scheduling.cpp
+++ b/modules/filbert_dispatch/scheduling.cpp
@@ -13,12 +13,13 @@
 
 namespace {
 
-constexpr std::size_t reservedPart = 4; // one in so many targets is kept for what waits, at most
-constexpr std::size_t failuresPerPass = 48; // steps without room: a turn of 2 ms
-constexpr std::size_t passesPerTurn = 8; // at most 0.3 s with passes 40 ms apart
-constexpr double acceleratorWeight = 1e6; // accelerators first, then thousandths of a core
+constexpr std::size_t reservedPart =
+    4; // at most one target in so many is reserved for pending steps
+constexpr std::size_t failuresPerPass = 48; // steps without capacity: 2 ms of processor time
+constexpr std::size_t passesPerTurn = 8; // at most 0.3 s if passes are 40 ms apart
+constexpr double acceleratorWeight = 1e6; // accelerators count first, then thousandths of a core
 
-/** @return the rooms that the step may start in now, as far as its policy goes: by index */
+/** @return the indices of the candidates with free resources on which the step is admitted now */
 std::vector<std::size_t> candidatesFor(const placement_pass &pass, const open_step &step,
                                        const service_view &service)
 {
@@ -99,7 +100,8 @@
     pass.state.effects.commands.push_back(std::move(command));
 }
 
-/** Keeps lower work out of the targets that will have room first for what found none. */
+/** Reserves the targets with the most free resources for a step that found no capacity, so that
+    work that ranks after it does not take them. */
 void reserveFor(const placement_pass &pass, const open_step &step, service_view &service,
                 std::size_t tasks)
 {
@@ -143,7 +145,7 @@
             continue;
         }
         if (!isWithinTeamCap(pass, step, 1)) {
-            return; // its own team's limit: nothing is kept free for it
+            return; // only the cap of its team is in the way: nothing is reserved for it
         }
         if (!candidates) {
             candidates = candidatesFor(pass, step, service);
@@ -165,7 +167,8 @@
 
 using gang_plan = std::vector<std::pair<task_name, room_view *>>;
 
-/** Books a room for each member, or for none. */
+/** Reserves a start for each member of a gang, or for none.
+    @param rack  to stay in; nullptr = any */
 gang_plan bookGang(placement_pass &pass, open_step &step, service_view &service,
                    const std::vector<std::size_t> &candidates, std::size_t members,
                    const std::string_view *rack)
@@ -244,7 +247,8 @@
     state.waitingSteps = steps.size();
     for (auto &step : steps) {
         auto &service = serviceOf(pass, step.queue->service());
-        // Behind many that found no room, each step still has its turn in one of so many passes.
+        // After many steps without capacity, each further step is tried only in one of several
+        // passes.
         const bool isSkipped = service.failures >= failuresPerPass
             && (std::hash<std::string> {}(step.name.job) + state.passes) % passesPerTurn != 0;
         if (isSkipped) {
--- a/modules/filbert_dispatch/scheduling.h
+++ b/modules/filbert_dispatch/scheduling.h
@@ -4,18 +4,21 @@
 
 namespace filbert {
 
-/** Decides which waiting tasks start now, and where; proposes their starts.
+/** Runs a placement pass: decides which waiting tasks start now and where, and proposes their
+   starts.
 
-    Order: the queue's priority; work that can still end in time before work that is late anyway;
-    the least slack first. A task goes where it fits best, so that large rooms stay whole; one that
-    finds no room keeps lower work out of the targets that it waits for. Gangs start whole.
+    Work that can still end in time goes before work that is late anyway; within these the priority
+    of the queue decides, then the least slack. A task goes to the target that it fits best, so that
+    large blocks of free capacity stay whole. A step that finds no capacity reserves targets against
+    work that ranks after it. Gangs start as a whole.
 */
 void placeWaiting(dispatch_state &state, time_point now);
 
-/** Works out which steps of a job have tasks to place. Called whenever the job has changed. */
+/** Updates the view of a job: which of its steps have tasks to place. Call it whenever the job has
+    changed. */
 void refreshJob(dispatch_state &state, const std::string &id, time_point now);
 
-/** @return by step: the longest chain of estimates from its start to the job's end */
+/** @return by step: the length of the critical path from its start to the end of the job */
 std::vector<milliseconds> chainsOf(const messages::staged_job &job);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/step_order.cpp
+++ b/modules/filbert_dispatch/step_order.cpp
@@ -19,7 +19,8 @@
     return record.done + record.running < record.tasks.size();
 }
 
-/** Whether all that a step waits for is under way, and half of it done. */
+/** Whether all tasks of the steps that a step depends on have started, and half of them are done.
+ */
 bool isComing(const work_job &job, const occurrence_record &occurrence, std::uint32_t step)
 {
     const auto &needed = specOf(job, step).depends_on();
@@ -88,7 +89,7 @@
         chain = chain + milliseconds {job.steps(step).estimate_ms()};
         for (const auto needed : job.steps(step).depends_on()) {
             auto &before = chains[static_cast<std::size_t>(needed)];
-            before = std::max(before, chain); // its own estimate is added when its turn comes
+            before = std::max(before, chain); // its own estimate is added in its own iteration
         }
     }
     return chains;
--- a/modules/filbert_dispatch/target_answers.cpp
+++ b/modules/filbert_dispatch/target_answers.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Four tries a second of a target that may be gone; a lease outlasts twenty of them.
+// Four polls a second to a target that may be unavailable; a lease outlasts twenty of them.
 constexpr milliseconds lookPauseAfterFault {250};
-constexpr milliseconds stopPause {400}; // nobody waits for a stop; a few fit into a lease
+constexpr milliseconds stopPause {400}; // nothing waits for a stop; a lease outlasts several tries
 
-/** Notes that a target which answers has left an order without an answer. */
+/** Records that an answer of a target got lost, although the target is available. */
 void noteLostAnswer(dispatch_state &state, const std::string &target, time_point now)
 {
     const bool wasLossy = losesAnswers(state);
@@ -24,7 +24,7 @@
     }
 }
 
-/** Whether the want of an answer may be the network's fault. */
+/** Whether the network may be the reason for a missing answer. */
 bool mayBeLost(const dispatch_state &state, order_result result)
 {
     return result == order_result::Unanswered && losesAnswers(state);
@@ -52,7 +52,7 @@
     target.avoidance = {};
 }
 
-/** An order has got no answer: either that was lost, or the target is silent. */
+/** Handles an order without an answer: either the answer got lost, or the target is silent. */
 void noteSilence(dispatch_state &state, target_conversation &target, const target_order &order,
                  order_result result, time_point now)
 {
@@ -67,7 +67,7 @@
     if (isPatient || std::exchange(target.isSuspect, true)) {
         return;
     }
-    // No new work until it answers: most often its process has ended, or its host is cut off.
+    // No new work until it answers: usually its process has ended, or its host is disconnected.
     target.isReviewDue = true;
     log_line {"target_suspect", log_line::severity::Warning}
         .with("target", target.id)
@@ -97,7 +97,7 @@
         .with("result", resultName(result))
         .with("waited_ms", (now - run.orderedAt).count);
     if (isFaultOfTarget(result) && !mayBeLost(state, result)) {
-        noteFailure(state, target, order.task, "its starts fail", now);
+        noteFailure(state, target, order.task, "starts fail there", now);
     }
     run.mayBeThere =
         run.mayBeThere || result == order_result::Unanswered || result == order_result::CarrierLost;
@@ -112,7 +112,7 @@
         return;
     }
     if (run.mayBeThere) {
-        requestStop(state, order.task, "its start has no clear answer", now);
+        requestStop(state, order.task, "its start was not clearly answered", now);
         return;
     }
     proposeDrop(state, order.task, run, target.id, std::string {resultName(result)});
@@ -134,7 +134,7 @@
         run.retryAt = now + stopPause;
         return;
     }
-    run.confirmedAt = now; // its end is listed, or a later look shows that it is not there
+    run.confirmedAt = now; // a later poll lists its end, or shows that it is not there
     target.lookAt = std::min(target.lookAt, now);
 }
 
@@ -209,7 +209,7 @@
     }
 }
 
-/** Runs that a target neither lists as running nor as ended. */
+/** Handles runs that a target lists neither as running nor as ended. */
 void reviewAbsent(dispatch_state &state, target_conversation &target, const target_order &look,
                   const std::set<task_name> &present, time_point now)
 {
@@ -220,9 +220,9 @@
         }
         const bool isKnownBefore = run.confirmedAt < look.sentAt && run.confirmedAt.ms > 0;
         if (run.phase == run_phase::Stopping && isKnownBefore) {
-            proposeDrop(state, task, run, target.id, "stopped, or never begun");
+            proposeDrop(state, task, run, target.id, "stopped or never started");
         } else if (run.phase == run_phase::Started && (isKnownBefore || run.confirmedAt.ms == 0)) {
-            // A start of the leader before may still be on its way; a stop makes it void.
+            // A start order of the previous leader may still arrive; a stop makes it void.
             requestStop(state, task, "the target does not list it", now);
         }
     }
@@ -263,7 +263,7 @@
     const auto found = state.targets.find(order.target);
     const auto *life = lifeOf(state, order.target);
     if (order.fencingToken != state.term || found == state.targets.end() || life == nullptr) {
-        return; // of an earlier term, or of a target that has gone
+        return; // from an earlier term, or from a target that has been removed
     }
     auto &target = found->second;
     const bool isOfThisLife =
@@ -282,7 +282,7 @@
         && answer.result != order_result::Unreachable && answer.result != order_result::WrongLife;
     if (hasAnswered) {
         if (target.isSuspect) {
-            noteLostAnswer(state, target.id, now); // it was there all the time
+            noteLostAnswer(state, target.id, now); // it was available all the time
         }
         target.heardAt = now;
         target.answeredAt = now;
@@ -313,7 +313,7 @@
         answerLook(state, target, *life, order, answer, now);
         break;
     case order_kind::Pace:
-        break; // the next look shows whether it worked
+        break; // the next poll shows the effect
     }
 }
 
--- a/modules/filbert_dispatch/target_conversation.cpp
+++ b/modules/filbert_dispatch/target_conversation.cpp
@@ -10,16 +10,18 @@
 
 namespace {
 
-// The leader before counted from a reading that was up to 3.3 s old, of a clock up to 2 % slow.
+// The previous leader may have counted from a clock reading that was up to 3.3 s old, of a clock
+// that is up to 2 % slow.
 constexpr milliseconds leaseSlack {100};
-constexpr milliseconds checkpointSpan {700}; // for a stop that saves, before its target leaves
-constexpr std::int64_t targetsPerMillisecond = 15; // that a look through all of them takes
+constexpr milliseconds checkpointSpan {
+    700}; // for a stop with a checkpoint before the target leaves
+constexpr std::int64_t targetsPerMillisecond = 15; // that a tick of all targets handles in a ms
 
 bool needsLook(const dispatch_state &state, const target_conversation &target,
                const life_record &life, time_point now)
 {
     if (target.proposedEnds > life.lastEndTaken) {
-        return false; // until these are committed
+        return false; // until the proposed ends are committed
     }
     const bool isHeard = now - target.heardAt < state.settings.contactSpan;
     return !target.runs.empty()
@@ -28,8 +30,8 @@
 
 bool hasLapsed(const target_conversation &target, time_point now)
 {
-    // Leases of the term before are bounded by time alone: the first reading of a clock may have
-    // been on its way for long, so that nothing can be counted from it.
+    // Leases of earlier terms are bounded by time alone: the first reading of a clock may have been
+    // long on its way, so that no expiry can be derived from it.
     return now > target.lapseBy
         && (!target.clockMs || clockAtLeast(target, now) > target.leaseUntil);
 }
@@ -63,26 +65,27 @@
     }
 }
 
-/** Whether all that the target may run is over, once its lease has ended. */
+/** Whether no late order can start a run of the target any more. */
 bool mayNothingLinger(const target_conversation &target, time_point now)
 {
     return std::all_of(target.runs.begin(), target.runs.end(),
                        [&](const auto &each) { return now >= each.second.mayLingerUntil; });
 }
 
-/** Gives up what a lease that has ended says is over. */
+/** Abandons the runs of a target whose lease has expired, unless a late order may still start them.
+ */
 void giveUpLapsed(dispatch_state &state, target_conversation &target, time_point now)
 {
     target.isReviewDue = true;
     for (auto &[task, run] : target.runs) {
         if (now >= run.mayLingerUntil) {
-            proposeDrop(state, task, run, target.id, "the lease of its target has ended");
+            proposeDrop(state, task, run, target.id, "the lease of its target has expired");
         }
     }
 }
 
-/** Stops what looks have listed for long without any progress: it may hang there. How long no look
-    came says nothing about the run. */
+/** Stops runs that polls have listed for long without any progress, since they may hang. A time
+    without polls says nothing about a run and does not count. */
 void reviewProgress(dispatch_state &state, target_conversation &target, time_point now)
 {
     for (auto &[task, run] : target.runs) {
@@ -99,7 +102,8 @@
     }
 }
 
-/** Moves what a leaving target would not finish; what lasts goes at once. */
+/** Stops runs on a draining target so that they continue elsewhere: long-running ones at once,
+    others if they cannot end in time and can save a checkpoint. */
 void reviewDrain(dispatch_state &state, target_conversation &target, time_point now)
 {
     for (auto &[task, run] : target.runs) {
@@ -117,7 +121,7 @@
             : static_cast<double>(spec.estimate_ms());
         const bool canFinish = now + milliseconds {std::llround(left)} <= target.leavesAt;
         if (!canFinish && spec.checkpoints() && now + checkpointSpan >= target.leavesAt) {
-            requestStop(state, task, "its target leaves before it can end", now);
+            requestStop(state, task, "its target leaves before it can complete", now);
         }
     }
 }
@@ -147,13 +151,14 @@
     if (target.born != life->about.born()) {
         const auto before = std::move(target);
         target = {};
-        target.runs = before.runs; // stopped in the new life too, see stepRuns
-        // Orders to the life before name a time on its clock, which says nothing on this one's.
-        // This life shortens the lease, counted from when such an order arrives.
+        target.runs = before.runs; // stopped in the new incarnation too, see tickRuns()
+        // Orders to the previous incarnation name an expiry on its clock, which means nothing on
+        // the clock of this one. This incarnation bounds such a lease by its own maximum, counted
+        // from the arrival of the order.
         const auto lingerUntil =
             now + state.settings.lateOrderSpan + clockRateMargin(state.settings.longestLease);
         for (auto &[task, run] : target.runs) {
-            run.isOrderOpen = false; // its answer would be of the life before
+            run.isOrderOpen = false; // its answer would come from the previous incarnation
             run.mayLingerUntil = lingerUntil;
         }
         target.planned = before.planned;
@@ -197,7 +202,7 @@
         auto &target = found->second;
         const auto sequence = static_cast<std::uint64_t>(life.sequence());
         if (sequence <= target.sequence) {
-            return false; // overtaken by a later one
+            return false; // a later report has overtaken it
         }
         target.sequence = sequence;
         target.heardAt = now;
@@ -289,8 +294,8 @@
     if (life == nullptr || life->about.born() != target.born) {
         return;
     }
-    // A target whose good-bye was not acknowledged runs on for seconds, so that only the end of its
-    // lease says that its runs are over; it is not renewed any more.
+    // A target that reported its end without getting an acknowledgement runs on for seconds. Only
+    // the expiry of its lease, which is not renewed any more, ensures that its runs are over.
     const bool isOver = hasLapsed(target, now) && mayNothingLinger(target, now);
     if (target.leavingSince && (target.runs.empty() || isOver)) {
         if (!std::exchange(target.isLeaveProposed, true)) {
--- a/modules/filbert_dispatch/target_conversation.h
+++ b/modules/filbert_dispatch/target_conversation.h
@@ -4,41 +4,46 @@
 
 namespace filbert {
 
-/** Takes a target's report about itself.
+/** Handles a target's report about itself.
 
-    @param life  as it reported it
-    @return whether it says something that must be in the log before it is acknowledged; the command
-            is among the effects then
+    @param life  the registration that it reported
+    @return whether the report holds something new that must be in the log before it is
+            acknowledged; the command for that is then among the effects
 */
 bool takeReport(dispatch_state &state, const messages::target_life &life, time_point now);
 
-/** A target said that it ends now; what it runs is over once its process has had time to end. */
+/** Handles the report of a target that it ends now. Its runs are over once its lease has expired.
+ */
 void takeLeave(dispatch_state &state, const std::string &id, time_point now);
 
-/** Takes the answer to an order, or that there was none. */
+/** Handles the answer to an order, or the failure to get one. */
 void takeOrderAnswer(dispatch_state &state, const target_order &order, const order_answer &answer,
                      time_point now);
 
-/** Sends what is due to each target: starts and stops once more, looks, renewed leases; gives runs
-    up whose lease has surely ended. */
+/** Sends what is due to targets: retries of starts and stops, polls, renewed leases. Abandons runs
+    whose lease has surely expired. */
 void stepTargets(dispatch_state &state, time_point now);
 
-/** Orders a committed start. @param ticket of the policy service; may be empty */
+/** Sends a committed start to its target.
+    @param ticket  from the policy service; may be empty */
 void orderStart(dispatch_state &state, const messages::start_run_command &start,
                 const std::string &ticket, time_point now);
 
-/** Asks a target to stop a run. @param reason for the log */
+/** Requests that a run be stopped; the order is sent with the next tick.
+    @param reason  for the log */
 void requestStop(dispatch_state &state, const task_name &task, const std::string &reason,
                  time_point now);
 
-/** Whether answers of several targets got lost lately, so that silence says little about one. */
+/** Whether answers of several targets got lost recently, so that a missing answer says little about
+    a target. */
 bool losesAnswers(const dispatch_state &state);
 
-/** Whether new work may be sent to a target. @param life of it, the newest that is known */
+/** Whether a target may get new work.
+    @param life  its record in the replicated state */
 bool takesWork(const dispatch_state &state, const target_conversation &target,
                const life_record &life, time_point now);
 
-/** Brings the views of targets in line with the replicated lives and their runs. */
+/** Updates the view of a target from its record and its runs in the replicated state. */
 void syncTargets(dispatch_state &state, const std::string &id, time_point now);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/target_orders.cpp
+++ b/modules/filbert_dispatch/target_orders.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr double slowestRate = 0.97; // a target's clock may run 2 % slow; 1 % of margin
-constexpr milliseconds answeredSpan {2'000}; // a lease is renewed for a target that answered lately
+constexpr double slowestRate = 0.97; // a target's clock may be 2 % slow; 1 % is a margin
+constexpr milliseconds answeredSpan {2'000}; // without contact for longer, no lease is renewed
 
 std::int64_t leaseEndFor(const dispatch_state &state, target_conversation &target, time_point now)
 {
@@ -114,7 +114,8 @@
     } else if (isStopping) {
         order.wait = state.settings.retryPause;
     }
-    // A life that has begun unnoticed numbers its ends anew: it would forget what nobody has taken.
+    // A new incarnation that the leader has not noticed numbers its ends from the start again. An
+    // acknowledgement meant for the previous one would make it discard ends that the log lacks.
     const bool isSurelySameLife =
         target.lookedAt.ms > 0 && now - target.lookedAt < state.settings.sameLifeSpan;
     order.lastEndTaken = isSurelySameLife ? life.lastEndTaken : 0;
--- a/modules/filbert_dispatch/target_orders.h
+++ b/modules/filbert_dispatch/target_orders.h
@@ -4,43 +4,46 @@
 
 namespace filbert {
 
-/** @return what the log says of a target, or nullptr */
+/** @return the record of a target in the replicated state, or nullptr */
 const life_record *lifeOf(const dispatch_state &state, const std::string &id);
 
-/** Adds a command to what is to be proposed to the log. */
+/** Adds a command to those that the caller proposes to the log. */
 void propose(dispatch_state &state, messages::work_command &&command);
 
-/** Proposes once that a run is over without an end of its own. @param reason for the log */
+/** Proposes, once per run, that a run is over without a reported end.
+    @param reason  for the log */
 void proposeDrop(dispatch_state &state, const task_name &task, run_view &run,
                  const std::string &target, const std::string &reason);
 
-/** @return an order of a kind to this life of a target; what else it says is the caller's */
+/** @return an order of a kind to the current incarnation of a target; the caller fills in the rest
+ */
 target_order orderFor(const dispatch_state &state, const target_conversation &target,
                       const life_record &life, order_kind kind, time_point now);
 
-/** @return how long a look is waited for where answers get lost */
+/** @return the timeout of a poll while answers get lost */
 inline milliseconds lossyLookSpan(const dispatch_settings &settings)
 {
     return settings.lossyLookWait + settings.lossyLookGrace;
 }
 
-/** Sends the start of a run that the log holds. */
+/** Sends the order to start a run that the log holds. */
 void sendStart(dispatch_state &state, target_conversation &target, const life_record &life,
                const task_name &task, run_view &run, time_point now);
 
 void sendStop(dispatch_state &state, target_conversation &target, const life_record &life,
               const task_name &task, std::uint32_t run, time_point now);
 
-/** Asks what a target runs and has ended; renews its lease and acknowledges ends that the log
-    holds. */
+/** Polls a target for its runs and for ended runs. Renews its lease and acknowledges the ends that
+    the log holds. */
 void sendLook(dispatch_state &state, target_conversation &target, const life_record &life,
               time_point now);
 
-/** Takes a reading of a target's clock: one that is ahead of what is known counts, one that was
-    delayed says less. */
+/** Updates the estimate of a target's clock from a reading. A reading that was delayed on its way,
+    and thus is behind the estimate, is ignored. */
 void takeClock(target_conversation &target, std::int64_t clockMs, time_point now);
 
-/** Keeps new work away from a target for a while, longer each time. @param reason for the log */
+/** Quarantines a target: it gets no new work for a while, which doubles each time up to a maximum.
+    @param reason  for the log */
 void avoid(dispatch_state &state, target_conversation &target, const std::string &reason,
            time_point now);
 
--- a/modules/filbert_dispatch/ticket_requests.cpp
+++ b/modules/filbert_dispatch/ticket_requests.cpp
@@ -8,20 +8,23 @@
 
 namespace {
 
-constexpr std::size_t targetsPerRequest = 100; // the most that the policy service takes
-// A policy admits a third of the targets or more, and others take some of the room meanwhile. Each
-// one more takes the service's time, and bytes of a link that starts need too.
+constexpr std::size_t targetsPerRequest = 100; // the maximum that the policy service accepts
+// A policy admits a third of the targets or more, and other steps take some of the free capacity
+// meanwhile. Each further target costs time of the service, and bytes on a link that start orders
+// need too.
 constexpr std::size_t targetsPerTask = 3;
 constexpr std::size_t targetsBesides = 15;
-constexpr std::size_t targetsPerCostlyCall = 20; // where each one named takes 4 ms and more
+constexpr std::size_t targetsPerCostlyCall = 20; // if each named target takes 4 ms or more
 constexpr double costlyPerTargetMs = 4.0;
-// Calls of a costly policy at the same time: one after the other, they take seconds. A step takes a
-// part of the processes that are free, so that others find some too.
+// Calls of a costly policy run in parallel, since one after the other they take seconds. A step
+// uses only a share of the free callers, which leaves some to other steps.
 constexpr std::size_t mostCostlyCalls = 3;
 constexpr std::size_t sparePerCall = 2;
-constexpr std::size_t targetsPerRefresh = 8; // of tickets, besides one for each member of a gang
-constexpr milliseconds slowPolicy {300}; // tickets of such a one are renewed before there is room
-constexpr milliseconds askPause {100}; // between requests of one step for more than it has
+constexpr std::size_t targetsPerRefresh =
+    8; // tickets to renew, besides one for each member of a gang
+constexpr milliseconds slowPolicy {
+    300}; // from here on tickets are renewed before there is capacity
+constexpr milliseconds askPause {100}; // between requests of a step for further tickets
 
 bool isCostly(const messages::work_queue &queue)
 {
@@ -40,12 +43,13 @@
                      isCostly(*step.queue) ? targetsPerCostlyCall : targetsPerRequest, pass.now);
 }
 
-/** @return targets that the step may ask the policy service for, those with the most room first */
+/** @return targets to name in a request, the best fits with free capacity first
+    @param isRefresh  whether to renew tickets, instead of requesting those of further targets */
 std::vector<std::string> targetsToAsk(const placement_pass &pass, const open_step &step,
                                       const service_view &service, const admission_view &view,
                                       bool isRefresh)
 {
-    constexpr double fullCost = 1'000.0; // behind all that have room now
+    constexpr double fullCost = 1'000.0; // puts targets without capacity after all others
     std::vector<std::pair<double, std::size_t>> wanted;
     for (std::size_t i = 0; i < service.rooms.size(); ++i) {
         const auto &room = service.rooms[i];
@@ -72,7 +76,7 @@
     return ids;
 }
 
-/** @return how many tasks of a size an amount of room takes, at most a bound */
+/** @return how many tasks fit into free resources, up to a maximum */
 std::int64_t countFitting(const resource_amounts &need, const resource_amounts &left,
                           std::int64_t most)
 {
@@ -83,7 +87,7 @@
                      times(need.accelerators, left.accelerators)});
 }
 
-/** Whether the admitted targets have room for what starts at once: a task, or a whole gang. */
+/** Whether the admitted targets have capacity for what starts at once: a task or a whole gang. */
 bool hasAdmittedRoom(const placement_pass &pass, const open_step &step, const service_view &service,
                      const admission_view &view)
 {
--- a/modules/filbert_dispatch/ticket_requests.h
+++ b/modules/filbert_dispatch/ticket_requests.h
@@ -4,10 +4,10 @@
 
 namespace filbert {
 
-/** Asks for tickets where the step has none that is good. */
+/** Requests tickets for a step that could not be placed, if its queue has a policy. */
 void askAdmission(placement_pass &pass, const open_step &step, const service_view &service);
 
-/** Asks for tickets of a step whose turn comes soon, where its policy decides quickly. */
+/** Requests tickets for a step that will soon be pending, if its policy decides quickly. */
 void askAhead(placement_pass &pass, const open_step &step);
 
 } // namespace filbert
