--- a/modules/filbert_configuration/access_keys.cpp
+++ b/modules/filbert_configuration/access_keys.cpp
@@ -19,7 +19,8 @@
     return reinterpret_cast<const unsigned char *>(text.data());
 }
 
-/** Secrets are 256 random bits, so that a fast salted hash is enough; it costs microseconds. */
+/** Hashes a secret. A fast salted hash, which takes microseconds, is sufficient, since secrets are
+    256 random bits and cannot be guessed. */
 std::string hashOf(std::string_view secret, std::string_view saltHex)
 {
     std::string hash(hashBytes, '\0');
@@ -40,7 +41,7 @@
 
 std::string randomHex(std::size_t bytes)
 {
-    FILBERT_INVARIANT(sodium_init() >= 0, "the cryptography library starts");
+    FILBERT_INVARIANT(sodium_init() >= 0, "libsodium can be initialised");
     std::string random(bytes, '\0');
     randombytes_buf(random.data(), random.size());
     return toHex(random);
--- a/modules/filbert_configuration/access_keys.h
+++ b/modules/filbert_configuration/access_keys.h
@@ -7,32 +7,32 @@
 
 namespace filbert {
 
-/** A new key: the token for its holder, and what the configuration keeps of it. */
+/** A new key: the token for its holder, and the record for the configuration. */
 struct made_key
 {
-    std::string token; // "ID.SECRET"; shown once
+    std::string token; // "ID.SECRET"; shown once, since only its hash is stored
     messages::access_key stored;
 };
 
-/** Makes a random key. @param id a name for it, without a dot @return token and salted hash */
+/** Generates a random key. @param id names the key; must not contain a dot */
 made_key makeKey(const std::string &id);
 
-/** Compares in constant time. @param secret of the token @param key as stored */
+/** Compares the hash of a secret with a stored one, in constant time. @return whether they match */
 bool isSecretOf(std::string_view secret, const messages::access_key &key);
 
-/** @param token "ID.SECRET" @return the part before the dot */
+/** @param token "ID.SECRET" @return the id: what precedes the first dot */
 std::string_view keyIdOf(std::string_view token);
 
-/** @param token "ID.SECRET" @return the part behind the dot */
+/** @param token "ID.SECRET" @return the secret: what follows the first dot, or nothing */
 std::string_view secretOf(std::string_view token);
 
-/** @param bytes how many @return random bytes, hexadecimal */
+/** @param bytes number of random bytes @return twice as many hexadecimal digits */
 std::string randomHex(std::size_t bytes);
 
-/** @param data any bytes @return 16 bytes of BLAKE2b */
+/** @return the BLAKE2b digest of the data, as 16 bytes */
 std::string contentDigest(std::string_view data);
 
-/** @param bytes any @return hexadecimal */
+/** @return the bytes as lower-case hexadecimal digits */
 std::string toHex(std::string_view bytes);
 
 } // namespace filbert
--- a/modules/filbert_configuration/cell_configuration.cpp
+++ b/modules/filbert_configuration/cell_configuration.cpp
@@ -40,7 +40,7 @@
     return r.milli_cores() < 0 || r.memory_mb() < 0 || r.accelerators() < 0 || r.slots() < 0;
 }
 
-/** Gathers problems under the path of the part that is being looked at. */
+/** Collects the problems that validation finds. */
 class problem_list
 {
 public:
@@ -55,7 +55,7 @@
                            std::set<std::string> *seen)
     {
         require(isName(name), field + ".name", "1 to 64 letters, digits, '-' or '_'");
-        require(seen->insert(name).second, field + ".name", "a name that occurs once: " + name);
+        require(seen->insert(name).second, field + ".name", "a unique name; already used: " + name);
     }
 
     void requireKeys(const std::string &field,
@@ -67,7 +67,7 @@
             const auto &key = keys[i];
             require(isName(key.id()), path + ".id", "1 to 64 letters, digits, '-' or '_'");
             require(seen->insert(key.id()).second, path + ".id",
-                    "an id that occurs once: " + key.id());
+                    "a unique id; already used: " + key.id());
             require(!key.salt().empty() && !key.hash().empty(), path,
                     "salt and hash, as 'filbertctl keys make' prints them");
         }
@@ -260,7 +260,7 @@
 {
     std::string all;
     for (const auto &[key, value] : parts) {
-        // With lengths, so that no two sets of parts give the same text.
+        // Each text is preceded by its length, so that different sets give different input.
         all.append(std::to_string(key.size())).append(":").append(key);
         all.append(std::to_string(value.size())).append(":").append(value);
     }
@@ -310,7 +310,7 @@
         const auto path = indexed("queues", i);
         list.requireUniqueName(path, queue.name(), &queues);
         list.require(!queue.open_to_all() || teams.contains(queue.team()), path + ".team",
-                     "the team that an open queue's work is charged to");
+                     "the name of the team to which the work of an open queue is charged");
         list.require(queue.max_waiting() >= 0, path + ".max_waiting", "0 or more");
     }
     for (int i = 0; i < whole.services_size(); ++i) {
--- a/modules/filbert_configuration/cell_configuration.h
+++ b/modules/filbert_configuration/cell_configuration.h
@@ -12,27 +12,27 @@
 
 namespace filbert {
 
-/** One thing that is wrong with a configuration. */
+/** One error in a configuration. */
 struct configuration_problem
 {
     std::string file;
-    int line = 0;
-    std::string field;
-    std::string expected;
+    int line = 0; // from 1; 0 if it is not known
+    std::string field; // path of the field, e.g. "teams[0].share"
+    std::string expected; // what the field should hold
 };
 
-/** Who a key belongs to, and what it allows. */
+/** The kind of a key's owner, which decides what the key permits. */
 enum class key_role { Team, Operator, Target };
 
-/** The owner of an accepted key. */
+/** The owner of a key that has been authenticated. */
 struct key_owner
 {
     key_role role = key_role::Team;
-    std::string name;
+    std::string name; // of the team or principal
     std::string keyId;
 };
 
-/** A configuration in force: its parts by name, with look-ups for every request. */
+/** The configuration that a process applies, with fast look-ups for each request. */
 class cell_configuration
 {
 public:
@@ -50,32 +50,33 @@
         return servicesByName;
     }
 
-    /** Whether any operator is named; while none is, the bootstrap key of the settings counts. */
+    /** @return whether the configuration names an operator; until it does, the bootstrap key from
+        the settings is accepted */
     bool hasOperator() const { return operatorCount > 0; }
 
-    /** Checks a key in constant time.
+    /** Authenticates a token; its secret is compared in constant time.
 
-        @param token  "ID.SECRET", as a caller sent it
-        @param owner  filled in on success
-        @return Unauthorized if the key is not known, withdrawn or wrong
+        @param token  "ID.SECRET", as the client sent it
+        @param owner  set on success
+        @return Unauthorized if the key is unknown or revoked, or its secret is wrong
     */
     std::error_code authenticate(std::string_view token, key_owner *owner) const;
 
-    /** @return whether a key of that id is still a team's */
+    /** @return whether a key still belongs to a team, that is, has not been revoked */
     bool hasTeamKey(const std::string &team, const std::string &keyId) const;
 
-    /** Changes parts and takes over the version.
+    /** Applies a change.
 
-        @param items    parts that are new, changed or removed
-        @param version  after the change
+        @param items    items that are new, changed or removed
+        @param version  version of the configuration after the change
     */
     void applyItems(const google::protobuf::RepeatedPtrField<messages::configuration_item> &items,
                     std::int64_t version);
 
-    /** Forgets everything. */
+    /** Resets to an empty configuration. */
     void clear();
 
-    /** @return the whole as operators see it */
+    /** @return the configuration in the form that operators read and write */
     messages::configuration toMessage() const;
 
 private:
@@ -103,23 +104,25 @@
     int operatorCount = 0;
 };
 
-/** Splits a configuration into its named parts. */
+/** Splits a configuration into its items, serialized messages by key. */
 std::map<std::string, std::string> partsOf(const messages::configuration &whole);
 
-/** What changes from one set of parts to another. */
+/** @return the items to set and to remove to get from one set of items to another */
 std::vector<messages::configuration_item>
 differenceOf(const std::map<std::string, std::string> &from,
              const std::map<std::string, std::string> &to);
 
-/** @return a digest of parts, hexadecimal; equal parts give equal digests */
+/** @return a digest of a set of items, in hexadecimal; equal sets have equal digests */
 std::string digestOf(const std::map<std::string, std::string> &parts);
 
-/** @return a sentence for people, e.g. "2 changed (team/orders, queue/quotes), 1 removed (...)" */
+/** Describes a change for the audit log, e.g. "2 set (team/orders, queue/quotes), 0 removed". At
+   most 8 keys of either kind are named. */
 std::string summaryOf(const std::vector<messages::configuration_item> &items);
 
-/** Checks what a single field cannot show: names that are doubled, absent or refer to nothing.
+/** Validates a configuration that has been read: values out of range, missing or duplicate names,
+   and references to names that do not exist.
 
-    @return all problems; without file and line, which the reader fills in
+    @return all problems, without file and line, which the reader adds
 */
 std::vector<configuration_problem> validateConfiguration(const messages::configuration &whole);
 
--- a/modules/filbert_configuration/configuration_reader.cpp
+++ b/modules/filbert_configuration/configuration_reader.cpp
@@ -19,10 +19,10 @@
 constexpr int maxDepth = 16;
 constexpr std::size_t maxFileBytes = 8 << 20;
 
-/** Where each field was written, for problems that only show later. */
+/** File and line of each field by its path, for problems that only validation finds. */
 using line_table = std::map<std::string, std::pair<std::string, int>>;
 
-/** Fills a message from a YAML node by the message's own description. */
+/** Fills a message from a YAML node by reflection: its descriptor says which fields exist. */
 class node_reader
 {
 public:
@@ -36,7 +36,7 @@
     void readMessage(const YAML::Node &node, const std::string &path, Message *message, int depth)
     {
         if (depth > maxDepth) {
-            addProblem(node, path, "less nesting");
+            addProblem(node, path, "a less deeply nested value");
             return;
         }
         if (!node.IsMap()) {
@@ -52,7 +52,7 @@
             if (descriptor == nullptr) {
                 addProblem(entry.first, field, "a known field, one of: " + fieldNames(*message));
             } else if (!seen.insert(name).second) {
-                addProblem(entry.first, field, "the field only once");
+                addProblem(entry.first, field, "a field that occurs only once");
             } else if (descriptor->is_repeated()) {
                 readList(entry.second, field, message, descriptor, depth);
             } else {
@@ -201,7 +201,7 @@
         return error_kind::Malformed;
     }
     for (auto problem : validateConfiguration(whole)) {
-        // The nearest enclosing field that was written down has the line.
+        // A field that is absent from the file gets the line of the nearest enclosing one.
         for (std::string field = problem.field; !field.empty();) {
             if (const auto found = lines.find(field); found != lines.end()) {
                 problem.file = found->second.first;
@@ -226,7 +226,7 @@
     for (const auto &path : paths) {
         std::ifstream stream {path};
         if (!stream) {
-            problems->push_back({path, 0, "", "a file that can be read"});
+            problems->push_back({path, 0, "", "a readable file"});
             continue;
         }
         std::ostringstream text;
--- a/modules/filbert_configuration/configuration_reader.h
+++ b/modules/filbert_configuration/configuration_reader.h
@@ -7,21 +7,21 @@
 
 namespace filbert {
 
-/** Reads operators' YAML files, which together describe the whole intended state.
+/** Reads YAML files that together describe the whole intended configuration, and validates it.
 
-    Every problem is named with file, line, field and what was expected; unknown and doubled fields
-    are problems.
+    Each problem states its file, line and field, and what was expected there. Unknown and duplicate
+    fields are problems too.
 
-    @param paths     files, in any order
-    @param whole     filled in
-    @param problems  all that is wrong; empty on success
-    @return Malformed if anything is wrong
+    @param paths     the files, in any order
+    @param whole     receives what was read; complete only on success
+    @param problems  receives all problems; empty on success
+    @return Malformed if there are problems
 */
 std::error_code readConfiguration(const std::vector<std::string> &paths,
                                   messages::configuration *whole,
                                   std::vector<configuration_problem> *problems);
 
-/** The same for a text that has been read already. @param name stands for the file in problems */
+/** Like readConfiguration(), for text in memory. @param name stands for the file in problems */
 std::error_code readConfigurationText(const std::string &name, const std::string &text,
                                       messages::configuration *whole,
                                       std::vector<configuration_problem> *problems);
--- a/modules/filbert_configuration/tests/configuration_reader_test.cpp
+++ b/modules/filbert_configuration/tests/configuration_reader_test.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a right configuration is read")
+TEST_CASE("a valid configuration is read")
 {
     messages::configuration whole;
     std::vector<configuration_problem> problems;
@@ -36,7 +36,7 @@
     CHECK(whole.services(0).idempotent());
 }
 
-TEST_CASE("a problem names file, line, field and what was expected")
+TEST_CASE("a problem states its file, line and field, and what was expected")
 {
     const auto problems = problemsOf("cell: morava\nteams:\n  - name: a\n    share: many\n");
     REQUIRE(problems.size() == 1);
@@ -46,7 +46,7 @@
     CHECK(problems[0].expected == "a number");
 }
 
-TEST_CASE("unknown, doubled and dangling fields are problems")
+TEST_CASE("unknown fields, duplicate fields and dangling references are problems")
 {
     CHECK(problemsOf("cell: a\ncolour: red\n").size() == 1);
     CHECK(problemsOf("cell: a\ncell: b\n").size() == 1);
@@ -56,7 +56,7 @@
     CHECK(dangling[0].line == 3);
 }
 
-TEST_CASE("no text makes the reader fail in another way than with problems")
+TEST_CASE("malformed text leads to reported problems and to no other failure")
 {
     checkProperty("arbitrary bytes", [](const std::string &text) {
         messages::configuration whole;
@@ -64,7 +64,7 @@
         const auto error = readConfigurationText("any", text, &whole, &problems);
         RC_ASSERT(static_cast<bool>(error) == !problems.empty());
     });
-    checkProperty("a right text with one byte changed", [] {
+    checkProperty("valid text with one byte changed", [] {
         std::string text = small;
         text[*rc::gen::inRange<std::size_t>(0, text.size())] = *rc::gen::arbitrary<char>();
         messages::configuration whole;
@@ -74,7 +74,7 @@
     });
 }
 
-TEST_CASE("a difference brings one set of parts to the other")
+TEST_CASE("applying the difference of two sets of items to the first gives the second")
 {
     checkProperty([](const std::map<std::string, std::string> &from,
                      const std::map<std::string, std::string> &to) {
@@ -91,7 +91,7 @@
     });
 }
 
-TEST_CASE("a key opens only with its own secret, and not after it was withdrawn")
+TEST_CASE("a key is accepted only with its own secret and until it is revoked")
 {
     const auto made = makeKey("desk");
     messages::configuration whole;
--- a/modules/filbert_work/filbert_work.h
+++ b/modules/filbert_work/filbert_work.h
@@ -1,12 +1,25 @@
 #pragma once
 
 /** @file
-    Staged jobs as replicated state: what was accepted, what runs where, what has ended.
+    The replicated state of staged jobs: which jobs were accepted, which tasks run on which targets,
+    and what has ended.
 
-    A job has steps, a step has tasks, a task has runs one after the other. Each change is a command
-    of the replicated log; applying it is deterministic and refuses whatever would break a promise:
-    two runs of one task, a start before its order, a start of what nobody asked for.
-    Depends on: filbert_core, filbert_messages, filbert_policy (amounts of resources).
+    - A job consists of steps, and a step of identical tasks. A step may depend on earlier steps of
+      the job. A job may repeat; each repetition is an occurrence.
+    - A run is one execution of a task on a target. A task has at most one run at a time; the next
+      one has a higher number and continues from the newest known checkpoint.
+    - An incarnation is one lifetime of a target's process. A target that is restarted keeps its id
+      and reports a higher incarnation number.
+    - The tasks of a gang run together: one success completes the step, and runs that fail together
+      count as one failure.
+    - A best-effort step reserves no cores; its tasks use the cores that others leave idle.
+
+    Every change is a command of the replicated log. Applying a command is deterministic, so that
+    all controllers hold the same state at the same index of the log. A command that would violate a
+    guarantee is refused: a second run of a task that is running or complete, a start before the
+    steps that the task depends on have completed, or a start of a task of no accepted job.
+
+    Depends on: filbert_core, filbert_messages, filbert_policy (resource amounts).
 */
 
 #include "queue_lookup.h"
--- a/modules/filbert_work/queue_lookup.cpp
+++ b/modules/filbert_work/queue_lookup.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int maxTasksInStep = 10'000; // a step of that size takes 1 MB of state
+constexpr int maxTasksInStep = 10'000; // a step of this size takes 1 MB of replicated state
 constexpr int maxSteps = 1'000;
 
 bool areSame(const std::string &a, const std::string &b)
@@ -22,11 +22,11 @@
     const auto &spec = job.steps(step);
     const auto where = "step " + std::to_string(step) + ": ";
     if (spec.count() < 1 || spec.count() > maxTasksInStep) {
-        return where + "expected a count from 1 to " + std::to_string(maxTasksInStep);
+        return where + "expected a task count from 1 to " + std::to_string(maxTasksInStep);
     }
     if (spec.need().milli_cores() < 0 || spec.need().memory_mb() < 0
         || spec.need().accelerators() < 0 || spec.max_per_target() < 0) {
-        return where + "expected amounts of 0 or more";
+        return where + "expected resource amounts and limits of 0 or more";
     }
     for (const auto needed : spec.depends_on()) {
         if (needed < 0 || needed >= step) {
@@ -77,7 +77,7 @@
             return "queue " + queue.name() + ": unknown service " + queue.service();
         }
         if (!places.emplace(queue.host(), queue.path_prefix()).second) {
-            return "queue " + queue.name() + ": another queue has the same host and prefix";
+            return "queue " + queue.name() + ": another queue has the same host and path prefix";
         }
     }
     std::set<std::string> keys;
--- a/modules/filbert_work/queue_lookup.h
+++ b/modules/filbert_work/queue_lookup.h
@@ -6,22 +6,25 @@
 
 namespace filbert {
 
-/** @param configuration in force @param host and path of a request
-    @return the queue whose host matches and whose prefix is the longest, or nullptr */
+/** Finds the queue that serves a request.
+    @return the queue of that host with the longest prefix of the path, or nullptr */
 const messages::work_queue *queueFor(const messages::work_configuration &configuration,
                                      const std::string &host, const std::string &path);
 
-/** @param key as the caller showed it @return the team that holds it, or nullptr */
+/** Finds the team that holds a key. Each comparison takes constant time, so that its duration does
+    not reveal how much of a key is right.
+    @param key  as the client sent it
+    @return the team, or nullptr */
 const messages::work_team *teamWithKey(const messages::work_configuration &configuration,
                                        const std::string &key);
 
-/** Checks a configuration as a whole.
+/** Validates a configuration: references to services, and that paths and keys are unique.
 
-    @return what is wrong with it and why, or nothing if it may come into force
+    @return what is wrong with it, or nothing if it may be applied
 */
 std::optional<std::string> problemIn(const messages::work_configuration &configuration);
 
-/** Checks a job before it is accepted. @return what is wrong with it, or nothing */
+/** Validates a job before it is accepted. @return what is wrong with it, or nothing */
 std::optional<std::string> problemIn(const messages::staged_job &job);
 
 } // namespace filbert
--- a/modules/filbert_work/task_name.h
+++ b/modules/filbert_work/task_name.h
@@ -10,7 +10,7 @@
 
 namespace filbert {
 
-/** Names one task: a job, one of its occurrences, a step of that, an index in the step. */
+/** Identifies a task by its job, the occurrence of the job, the step and the index in the step. */
 struct task_name
 {
     std::string job;
@@ -21,19 +21,20 @@
     auto operator<=>(const task_name &) const = default;
 };
 
-/** @return the text form JOB.OCCURRENCE.STEP.INDEX */
+/** @return the name as text: JOB.OCCURRENCE.STEP.INDEX */
 std::string textOf(const task_name &name);
 
-/** @return the text form without the index, which names the step */
+/** @return the name of the task's step as text: JOB.OCCURRENCE.STEP */
 std::string stepTextOf(const task_name &name);
 
-/** @param text as textOf() gives it @return the name, or nothing if it is none */
+/** Parses what textOf() returns; a job id may contain dots.
+    @return the name, or nothing if the text is not the name of a task */
 std::optional<task_name> taskNameFrom(std::string_view text);
 
-/** @return the same as a message */
+/** Converts a name to its protobuf form. */
 messages::task_reference referenceTo(const task_name &name);
 
-/** @return the name that a message holds */
+/** Converts a name from its protobuf form. */
 task_name nameOf(const messages::task_reference &reference);
 
 } // namespace filbert
--- a/modules/filbert_work/tests/work_commands_test.cpp
+++ b/modules/filbert_work/tests/work_commands_test.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("a task runs once at a time and never again after a good end", "[work]")
+TEST_CASE("a task has one run at a time and none after it has succeeded", "[work]")
 {
     work_fixture cell;
     cell.target("t1");
@@ -25,7 +25,7 @@
     CHECK(findTask(cell.state, task)->status == task_status::Done);
 }
 
-TEST_CASE("a run number is never used twice", "[work]")
+TEST_CASE("a run number is never reused", "[work]")
 {
     work_fixture cell;
     cell.target("t1");
@@ -37,7 +37,7 @@
     CHECK(cell.start(task, 2, "t1").error == none);
 }
 
-TEST_CASE("an end counts only for the present run, on the life that it was started on", "[work]")
+TEST_CASE("an end counts only for the current run on its own target", "[work]")
 {
     work_fixture cell;
     cell.target("t1");
@@ -53,7 +53,7 @@
     CHECK(cell.statusOf("j") == job_status::Completed);
 }
 
-TEST_CASE("a step starts after all that it depends on has ended well", "[work]")
+TEST_CASE("a step starts after all tasks of the steps that it depends on have succeeded", "[work]")
 {
     work_fixture cell;
     cell.target("t1");
@@ -69,7 +69,8 @@
     CHECK(cell.start(later, 1, "t1").error == none);
 }
 
-TEST_CASE("a target is never given more than it has, what is being stopped included", "[work]")
+TEST_CASE("a target is never overcommitted, with runs that are being stopped still counted",
+          "[work]")
 {
     work_fixture cell;
     cell.target("t1", 1, 4'000);
@@ -85,7 +86,7 @@
     CHECK(cell.state.lives.at("t1").used.milliCores == 2'000);
 }
 
-TEST_CASE("a cancelled job starts nothing more", "[work]")
+TEST_CASE("a cancelled job starts no more tasks", "[work]")
 {
     work_fixture cell;
     cell.target("t1");
@@ -99,7 +100,7 @@
     CHECK(cell.apply(cancel).error == error_kind::NotFound);
 }
 
-TEST_CASE("a job that has ended keeps its answer, and not its tasks", "[work]")
+TEST_CASE("a job that has ended keeps its status but not its tasks", "[work]")
 {
     work_fixture cell;
     cell.target("t1");
@@ -110,7 +111,7 @@
     cell.start({"done", 0, 0, 0}, 1, "t1");
     cell.start({"cancelled", 0, 0, 1}, 1, "t1");
     cell.apply(cancel);
-    CHECK_FALSE(cell.state.jobs.at("cancelled").occurrences.empty()); // a run is still there
+    CHECK_FALSE(cell.state.jobs.at("cancelled").occurrences.empty()); // one run has not ended yet
     cell.end({"done", 0, 0, 0}, 1, "t1", messages::END_DONE, 1);
     cell.end({"cancelled", 0, 0, 1}, 1, "t1", messages::END_STOPPED, 2);
     for (const auto *id : {"done", "cancelled"}) {
@@ -121,12 +122,12 @@
     CHECK(cell.statusOf("cancelled") == job_status::Cancelled);
     CHECK(cell.state.lives.at("t1").used.milliCores == 0);
     CHECK(cell.start({"done", 0, 0, 0}, 2, "t1").error != none);
-    CHECK(cell.accept("done", {cell.step(1)}).error == none); // the same request once more
+    CHECK(cell.accept("done", {cell.step(1)}).error == none); // a repetition of the same request
     CHECK(cell.statusOf("done") == job_status::Completed);
     CHECK(cell.state.jobs.at("done").occurrences.empty());
 }
 
-TEST_CASE("a job fails once a task has failed as often as its queue allows", "[work]")
+TEST_CASE("a job fails once a task has used up the attempts of its queue", "[work]")
 {
     work_fixture cell;
     cell.target("t1");
@@ -143,7 +144,7 @@
     CHECK(cell.statusOf("j") == job_status::Failed);
 }
 
-TEST_CASE("a task that lasts is started again however it ends", "[work]")
+TEST_CASE("a long-running task is started again however its run ends", "[work]")
 {
     work_fixture cell;
     cell.target("t1");
@@ -160,7 +161,7 @@
     CHECK(cell.statusOf("j") == job_status::Active);
 }
 
-TEST_CASE("one good end stands for a gang, and one failed run counts once", "[work]")
+TEST_CASE("one success completes a gang, and a failed run of it counts once", "[work]")
 {
     work_fixture cell;
     cell.target("t1");
@@ -183,7 +184,7 @@
     CHECK(cell.state.lives.at("t1").used.milliCores == 4'000);
 }
 
-TEST_CASE("a later process at an address ends the earlier one's life, a late report does not",
+TEST_CASE("a newer process at an address ends the earlier incarnation, but a late report does not",
           "[work]")
 {
     work_fixture cell;
@@ -200,7 +201,7 @@
     CHECK_FALSE(cell.state.lives.at("t2").isOver);
 }
 
-TEST_CASE("runs of a life before stay booked until they are certainly over", "[work]")
+TEST_CASE("runs of an earlier incarnation stay reserved until they have certainly ended", "[work]")
 {
     work_fixture cell;
     cell.target("t1", 5);
@@ -210,14 +211,14 @@
     cell.target("t1", 6);
     CHECK(findTask(cell.state, task)->status == task_status::Running);
     CHECK(cell.state.lives.at("t1").used.milliCores == 2'000);
-    cell.end(task, 1, "t1", messages::END_DONE, 1, 5); // late news of a life that is over
+    cell.end(task, 1, "t1", messages::END_DONE, 1, 5); // a late report of incarnation 5
     CHECK(findTask(cell.state, task)->status == task_status::Running);
     cell.drop(task, 1);
     CHECK(findTask(cell.state, task)->status == task_status::Waiting);
     CHECK(cell.state.lives.at("t1").used.milliCores == 0);
 }
 
-TEST_CASE("a good end on the life after the one that was asked counts: it is never run again",
+TEST_CASE("a success on a newer incarnation than the ordered one counts: it is never run again",
           "[work]")
 {
     work_fixture cell;
@@ -225,7 +226,7 @@
     cell.accept("j", {cell.step(1)});
     const task_name task {"j", 0, 0, 0};
     cell.start(task, 1, "t1", 5);
-    cell.target("t1", 6); // the order was on its way, and came to this life
+    cell.target("t1", 6); // the order was still in transit and reached this incarnation
     cell.end(task, 1, "t1", messages::END_DONE, 1, 6);
     CHECK(cell.statusOf("j") == job_status::Completed);
     CHECK(cell.start(task, 2, "t1", 6).error != none);
@@ -241,7 +242,7 @@
     CHECK(cell.state.configuration.queues(0).max_attempts() == 3);
 }
 
-TEST_CASE("a configuration that contradicts itself is found out", "[work]")
+TEST_CASE("an inconsistent configuration is rejected", "[work]")
 {
     work_fixture cell;
     auto configuration = cell.state.configuration;
@@ -250,11 +251,11 @@
     {
         configuration.mutable_queues(0)->set_service("nobody");
     }
-    SECTION("two queues at one place")
+    SECTION("two queues with one host and path")
     {
         *configuration.add_queues() = configuration.queues(0);
     }
-    SECTION("two teams with one key")
+    SECTION("one key in two teams")
     {
         auto *team = configuration.add_teams();
         team->set_name("other");
@@ -263,7 +264,7 @@
     CHECK(problemIn(configuration));
 }
 
-TEST_CASE("the queue with the longest prefix of the path takes the request", "[work]")
+TEST_CASE("a request goes to the queue with the longest matching path prefix", "[work]")
 {
     work_fixture cell;
     auto configuration = cell.state.configuration;
@@ -276,7 +277,7 @@
     CHECK(queueFor(configuration, "other.example", "/quotes/abc") == nullptr);
 }
 
-TEST_CASE("the name of a task is read back as it was written", "[work]")
+TEST_CASE("the text form of a task name is parsed back to the same name", "[work]")
 {
     const task_name name {"5c0e7a21d94b36f8", 3, 1, 17};
     CHECK(taskNameFrom(textOf(name)) == name);
@@ -285,7 +286,7 @@
     }
 }
 
-TEST_CASE("whatever commands come, no target is over its capacity and a snapshot holds all",
+TEST_CASE("no sequence of commands exceeds a target's capacity, and a snapshot restores the state",
           "[work][property]")
 {
     checkProperty([] {
--- a/modules/filbert_work/tests/work_fixture.h
+++ b/modules/filbert_work/tests/work_fixture.h
@@ -7,7 +7,7 @@
 
 namespace filbert {
 
-/** A state of staged jobs with short ways to change it, for tests. */
+/** A state of staged jobs with helpers that apply commands, for tests. */
 struct work_fixture
 {
     work_state state;
--- a/modules/filbert_work/work_commands.cpp
+++ b/modules/filbert_work/work_commands.cpp
@@ -18,13 +18,15 @@
 void endJob(work_state &state, work_job &job, job_status status, std::int64_t wallMs)
 {
     leavePending(state, job);
-    job.hasStarted = true; // it does not count as pending any more
+    job.hasStarted = true; // so that it no longer counts as pending
     job.status = status;
     job.endedWallMs = wallMs;
 }
 
-/** Of a job that has ended and has nothing running, only what answers about it need is kept: jobs
-    are held for minutes after their end, and their tasks would be most of a snapshot. */
+/** Discards the tasks and the specification of a job that has ended and has no running task.
+
+    Only what queries about the job need is kept: ended jobs are retained for minutes, and their
+    tasks would make up most of a snapshot. */
 void dropDetailsOfEnded(work_job &job)
 {
     if (job.isEnded() && job.running == 0) {
@@ -69,7 +71,7 @@
 command_outcome accept(work_state &state, const messages::staged_job &job)
 {
     if (state.jobs.contains(job.id())) {
-        return {}; // the same request once more
+        return {}; // a repetition of the same request
     }
     auto &record = state.jobs[job.id()];
     record.job = job;
@@ -112,16 +114,16 @@
     const bool isDue =
         !(spec.is_gang() && step.isGangDone) && isStepReady(job, occurrence, name.step);
     if (task->status != task_status::Waiting || command.run() <= task->run || !isDue) {
-        return {error_kind::Conflict, "the task runs, has ended or is not due"};
+        return {error_kind::Conflict, "the task is running or done, or its step is not ready"};
     }
     if (life->second.isOver || life->second.about.born() != command.born()) {
-        return {error_kind::Conflict, "the target's life is over"};
+        return {error_kind::Conflict, "this incarnation of the target has ended"};
     }
     const auto room = amountsOf(life->second.about.capacity()) - life->second.used;
     const auto need = reservedBy(spec);
     if (need.milliCores > room.milliCores || need.memoryMb > room.memoryMb
         || need.accelerators > room.accelerators) {
-        return {error_kind::NoCapacity, "the target is full"};
+        return {error_kind::NoCapacity, "the target has not enough free resources"};
     }
     task->status = task_status::Running;
     task->run = command.run();
@@ -135,7 +137,7 @@
     return {};
 }
 
-/** Takes a run off its target; the task waits again. */
+/** Releases the resources of a task's run; the task waits again. */
 void release(work_state &state, const task_name &name, work_task &task, step_record &step)
 {
     bookRun(state, name, task.target, -1);
@@ -183,7 +185,7 @@
 {
     const auto name = nameOf(end.task());
     auto *task = findTask(state, name);
-    // An order for the life before may have been carried out by the one after it.
+    // A start order that was sent to an earlier incarnation may have been executed by this one.
     const bool isCurrent = task != nullptr && task->status == task_status::Running
         && task->run == end.run() && task->target == target && task->born <= born;
     if (!isCurrent) {
@@ -209,7 +211,7 @@
 {
     const auto life = state.lives.find(command.target());
     if (life == state.lives.end() || life->second.about.born() != command.born()) {
-        return {error_kind::NotFound, "no such life of the target"};
+        return {error_kind::NotFound, "no such incarnation of the target"};
     }
     for (const auto &each : command.ends()) {
         endRun(state, command.target(), command.born(), each, wallMs);
@@ -249,10 +251,11 @@
 command_outcome target(work_state &state, const messages::target_life &about)
 {
     for (auto &[id, other] : state.lives) {
-        // One process holds an address at a time, so a later one there is the end of the earlier.
+        // Only one process can listen at an address at a time, so that a later incarnation there
+        // proves that the earlier one has ended.
         if (id != about.id() && !other.isOver && other.about.address() == about.address()) {
             if (other.about.born() > about.born()) {
-                return {error_kind::Conflict, "a later target is at this address"};
+                return {error_kind::Conflict, "a newer target is registered with this address"};
             }
             dropAllRuns(state, other);
             other.isOver = true;
@@ -260,7 +263,7 @@
     }
     auto &life = state.lives[about.id()];
     if (life.about.born() > about.born() || (life.isOver && life.about.born() == about.born())) {
-        return {error_kind::Conflict, "this life is over"};
+        return {error_kind::Conflict, "this incarnation of the target has ended"};
     }
     const bool isNewLife = life.about.born() != about.born();
     if (isNewLife) {
@@ -289,7 +292,7 @@
     }
     if (command.occurrence() >= occurrencesOf(job->second)
         || job->second.occurrences.contains(command.occurrence())) {
-        return {error_kind::Conflict, "no such occurrence, or it has begun"};
+        return {error_kind::Conflict, "no such occurrence, or it has begun already"};
     }
     beginOccurrence(job->second, command.occurrence());
     return {};
@@ -344,7 +347,7 @@
     case body::BODY_NOT_SET:
         break;
     }
-    return {error_kind::Malformed, "a command that this version does not know"};
+    return {error_kind::Malformed, "this version does not support the command"};
 }
 
 } // namespace filbert
--- a/modules/filbert_work/work_snapshot.h
+++ b/modules/filbert_work/work_snapshot.h
@@ -4,11 +4,15 @@
 
 namespace filbert {
 
-/** @return the whole state as bytes, for a snapshot of the log */
+/** Serializes the state for a snapshot of the log. */
 std::string writeWork(const work_state &state);
 
-/** Reads a state back. @param data as writeWork() gave it @param state replaced on success
-    @return Malformed if it cannot be read */
+/** Restores a state, including its derived members.
+
+    @param data   bytes that writeWork() returned
+    @param state  replaced on success
+    @return Malformed if the bytes cannot be parsed
+*/
 std::error_code readWork(const std::string &data, work_state *state);
 
 } // namespace filbert
--- a/modules/filbert_work/work_state.h
+++ b/modules/filbert_work/work_state.h
@@ -17,44 +17,47 @@
 
 enum class job_status { Queued, Active, Completed, Failed, Cancelled };
 
-/** @param status any @return its name in answers, e.g. "active" */
+/** @return the name of a job's status as clients see it, e.g. "active" */
 std::string_view statusName(job_status status);
 
-/** One task: its present run if it has one, and what is kept for the next. */
+/** A task: its current run, if it has one, and what the next run needs. */
 struct work_task
 {
     task_status status = task_status::Waiting;
-    std::uint32_t run = 0; // the highest that was started
-    std::uint32_t failures = 0; // runs that ended by a fault
-    std::string checkpoint; // the newest that is known; empty = from the start
-    std::string target; // where the present run is, while Running
-    std::int64_t born = 0; // of the target's life that it was started on
+    std::uint32_t run = 0; // number of the latest run that was started
+    std::uint32_t failures = 0; // runs that failed
+    std::string checkpoint; // the newest known one; if empty, the next run starts from scratch
+    std::string target; // id of the current run's target, while Running
+    std::int64_t born = 0; // incarnation of the target for which the run was started
 };
 
+/** The progress of one step in one occurrence of a job. */
 struct step_record
 {
     std::vector<work_task> tasks;
-    std::uint32_t done = 0;
-    std::uint32_t running = 0;
-    bool isGangDone = false; // one member's good end stands for all
-    std::uint32_t gangFailures = 0;
-    std::uint32_t failedRun = 0; // the last run that counted as a failure of the gang
+    std::uint32_t done = 0; // derived: tasks that are done
+    std::uint32_t running = 0; // derived: tasks that are running
+    bool isGangDone = false; // the success of one member completes a gang
+    std::uint32_t gangFailures = 0; // failed runs, whatever the number of members that failed
+    std::uint32_t failedRun = 0; // the last run that was counted in gangFailures
 };
 
-/** One of the times that a job's steps run. */
+/** One repetition of a job's steps. */
 struct occurrence_record
 {
     std::vector<step_record> steps;
 };
 
+/** An accepted job and its progress. */
 struct work_job
 {
     messages::staged_job job;
     job_status status = job_status::Queued;
-    std::map<std::uint32_t, occurrence_record> occurrences; // those that have begun
-    std::int64_t endedWallMs = 0;
-    std::uint32_t running = 0; // tasks, in all occurrences
-    bool hasStarted = false;
+    std::map<std::uint32_t, occurrence_record> occurrences; // those that have begun, by number
+    std::int64_t endedWallMs =
+        0; // by the wall clock of the leader at that time; 0 until it has ended
+    std::uint32_t running = 0; // derived: tasks that are running, in all occurrences
+    bool hasStarted = false; // once a task has started or the job has ended
 
     bool isEnded() const
     {
@@ -63,75 +66,81 @@
     }
 };
 
-/** The newest life that is known under one id of a target. */
+/** The newest incarnation that is known of one target, and the runs that are charged to it. */
 struct life_record
 {
     messages::target_life about;
-    std::uint64_t lastEndTaken = 0; // number of the last end that was taken
+    std::uint64_t lastEndTaken = 0; // number of the last end that was reported and applied
     bool isOver = false;
-    std::set<task_name> runs; // on this life, or on one before it under the same id
-    resource_amounts used; // by these; cores of steps that fill gaps are in fillCores instead
-    std::int64_t fillCores = 0;
+
+    // Derived:
+    std::set<task_name> runs; // on this incarnation, or on an earlier one of the same id
+    resource_amounts used; // reserved by these runs
+    std::int64_t fillCores = 0; // milli-cores of best-effort steps, which are not part of used
     int serving = 0; // runs with a latency target
 };
 
-/** All that must survive: one value on every controller at the same index of the log.
+/** The whole state of staged jobs, equal on all controllers at the same index of the log.
 
-    Jobs, lives and the configuration are stored; what is marked as derived follows from them.
+    Snapshots store the configuration, the jobs and the targets; members marked as derived are
+    computed from them.
 */
 struct work_state
 {
     messages::work_configuration configuration;
     std::unordered_map<std::string, work_job> jobs; // by id
-    std::map<std::string, life_record> lives; // by id of the target
+    std::map<std::string, life_record> lives; // by id
 
-    std::map<std::string, resource_amounts> teamUse; // derived
-    std::map<std::string, std::int64_t> pendingByQueue; // derived: accepted, no task started yet
+    // Derived:
+    std::map<std::string, resource_amounts> teamUse; // by team, of its running tasks
+    std::map<std::string, std::int64_t> pendingByQueue; // accepted jobs that started no task yet
 };
 
-/** @return the step's description @param name of a task in it; the job must have it */
+/** @return the specification of a step, which must exist in the job */
 const messages::step_spec &specOf(const work_job &job, std::uint32_t step);
 
-/** @return the record, or nullptr if there is no such job, occurrence, step or index */
+/** @return the task, or nullptr if its job, occurrence, step or index does not exist */
 work_task *findTask(work_state &state, const task_name &name);
 const work_task *findTask(const work_state &state, const task_name &name);
 
-/** @return the step's record, or nullptr */
+/** @return the record of the step that a task belongs to, or nullptr if there is none */
 const step_record *findStep(const work_state &state, const task_name &name);
 
-/** @return all that a task of the step takes, as teams are charged for it */
+/** @return the resources that a task of the step uses, as they are charged to its team */
 resource_amounts wholeNeedOf(const messages::step_spec &spec);
 
-/** @return what a task takes of its target: no cores if its step fills gaps */
+/** @return the resources that a task reserves on its target: no cores in a best-effort step */
 resource_amounts reservedBy(const messages::step_spec &spec);
 
-/** @return cores that a task of the step uses if they are there: 0 unless it fills gaps */
+/** @return the milli-cores that a task of a best-effort step uses if they are idle, otherwise 0 */
 std::int64_t fillCoresOf(const messages::step_spec &spec);
 
-/** Whether all steps that a step depends on have ended well. */
+/** @return whether all steps that a step depends on are complete */
 bool isStepReady(const work_job &job, const occurrence_record &occurrence, std::uint32_t step);
 
-/** Whether a step's work is complete. */
+/** @return whether all tasks of a step, or one task of a gang, have succeeded */
 bool isStepDone(const messages::step_spec &spec, const step_record &step);
 
-/** @return the team's record in the configuration, or nullptr */
+/** @return the team of that name, or nullptr */
 const messages::work_team *findTeam(const messages::work_configuration &configuration,
                                     const std::string &name);
 
-/** @return the queue's record in the configuration, or nullptr */
+/** @return the queue of that name, or nullptr */
 const messages::work_queue *findQueue(const messages::work_configuration &configuration,
                                       const std::string &name);
 
-/** @return the queue of a job: as configured now, or as the job was accepted if it was removed */
+/** @return the queue of a job as currently configured; if it was removed from the configuration, as
+    it was when the job was accepted */
 const messages::work_queue &queueOf(const work_state &state, const work_job &job);
 
-/** Whether a use is within a cap. @param cap 0 = unlimited, field by field */
+/** @return whether a usage is within a cap @param cap a field of 0 is unlimited */
 bool isWithinCap(const resource_amounts &use, const messages::resources &cap);
 
-/** Works the derived parts out anew, after a snapshot was read. */
+/** Computes all derived members from the stored ones, after a snapshot was read. */
 void deriveAll(work_state &state);
 
-/** Books a run on its target's life and team, or takes it off. @param sign 1 or -1 */
+/** Reserves the resources of a run on its target and charges them to its team, or releases them.
+    @param sign 1 to reserve, -1 to release */
 void bookRun(work_state &state, const task_name &name, const std::string &target, int sign);
 
 } // namespace filbert
