--- a/modules/filbert_policy/placement_pass.cpp
+++ b/modules/filbert_policy/placement_pass.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-constexpr milliseconds preemptionPause {2'000};
-constexpr milliseconds unknownRunTime {3'600'000};
-constexpr std::size_t keptEnded = 256; // tickets of ended work that a team's line may hold
+constexpr milliseconds preemptionPause {2'000}; // between two preemptions for one work item
+constexpr milliseconds unknownRunTime {3'600'000}; // assumed for tasks without an estimate
+constexpr std::size_t keptEnded = 256; // removed work ids that a team's queue may always hold
 
+/** Whether the policy has the reserve, preemption and reservations that come with work classes. */
 bool usesClasses(const scheduler_state &state)
 {
     return state.settings.kind == policy_kind::Filbert;
@@ -22,7 +23,9 @@
     return pool == state.index.pools.end() ? 0 : pool->second.releases;
 }
 
-/** Whether work that is not urgent would take the last room of a pool that urgent work uses. */
+/** Whether a task that is not urgent leaves the reserved fraction of all pools that its target
+    belongs to and that urgent work uses.
+*/
 bool leavesUrgentReserve(const scheduler_state &state, const target_view &target,
                          const resource_amounts &need)
 {
@@ -43,18 +46,20 @@
     });
 }
 
+/** @return a target for one task of a work item, or -1 */
 std::int64_t chooseTarget(const scheduler_state &state, const work_item &item)
 {
     if (state.settings.kind == policy_kind::Filbert) {
         const auto found = findTarget(state.index, item.service, item.need, item.avoid);
         const bool isChoosy = item.kind != work_class::Urgent || item.avoid.empty();
-        // A caller waits: a target that failed a moment ago is better than none.
+        // A caller waits, so a target that failed recently is better than none.
         return found >= 0 || isChoosy ? found
                                       : findTarget(state.index, item.service, item.need, {});
     }
     return findFirstTarget(state.index, item.service, item.need);
 }
 
+/** Starts a task: its resources are in use from now on. */
 void take(scheduler_state &state, const work_item &item, std::int32_t task, std::uint32_t target,
           time_point now, schedule_result *result)
 {
@@ -67,6 +72,11 @@
     result->placements.push_back({placement, item.ticket, task, target});
 }
 
+/** Stops idempotent batch tasks so that an urgent task fits.
+
+    Of the candidate targets, the one where the least run time is lost is chosen. The scan starts at
+    a target that depends on the work id, so that urgent tasks do not all preempt on the same few.
+*/
 void preemptFor(scheduler_state &state, work_item &item, time_point now, schedule_result *result)
 {
     const bool isTooEarly = now - item.since < state.settings.preemptAfter
@@ -85,7 +95,7 @@
             continue;
         }
         ++looked;
-        std::vector<std::pair<std::int64_t, std::uint64_t>> victims; // by time lost
+        std::vector<std::pair<std::int64_t, std::uint64_t>> victims; // run time lost, placement id
         for (const auto placement : state.runningOnTarget[number]) {
             const auto &task = state.running.at(placement);
             if (task.kind == work_class::Batch && task.isIdempotent && !task.isStopping) {
@@ -116,7 +126,7 @@
     }
 }
 
-/** Whether a gang gathers the free room of a pool that a target belongs to. */
+/** Whether a target belongs to a pool that is reserved for a gang. */
 bool isHeldForGang(const scheduler_state &state, const target_view &target)
 {
     return !state.heldPools.empty()
@@ -124,6 +134,7 @@
                        [&](const auto &service) { return state.heldPools.contains(service); });
 }
 
+/** Starts one task of an urgent or batch work item, if it fits. */
 bool placeOne(scheduler_state &state, work_item &item, time_point now, schedule_result *result)
 {
     const auto target = chooseTarget(state, item);
@@ -145,6 +156,7 @@
     return true;
 }
 
+/** @return how long until all tasks of a target have ended, by what is known of their run times */
 milliseconds expectedEnd(const scheduler_state &state, std::uint32_t target, time_point now)
 {
     milliseconds latest;
@@ -158,7 +170,9 @@
     return latest;
 }
 
-/** Whether at least two of a gang's tasks share a target, so that room freed anywhere adds up. */
+/** Whether some target has the capacity for two tasks of a gang, so that the gang need not wait for
+    whole targets: resources that are freed on any of them add up.
+*/
 bool canGatherAnywhere(const scheduler_state &state, const work_item &item)
 {
     return std::any_of(state.index.targets.begin(), state.index.targets.end(),
@@ -168,7 +182,9 @@
                        });
 }
 
-/** Reserves, at once or not at all, the targets that will be empty soonest and hold the gang. */
+/** Reserves the targets that are expected to be empty first and that together can run the whole
+    gang. If all candidates together cannot, nothing is reserved.
+*/
 void reserveTargets(scheduler_state &state, const work_item &item, time_point now)
 {
     std::vector<std::pair<std::int64_t, std::uint32_t>> candidates;
@@ -202,10 +218,12 @@
     state.reservations[item.ticket] = std::move(chosen);
 }
 
-/** Sees to it that a gang which has waited long enough gets its room before other batch work.
+/** Makes a reservation for a gang that has waited long enough, so that other batch work does not
+    delay it further.
 
-    Small tasks gather what is freed anywhere in the pool, which takes as long as so many tasks need
-    to end; tasks that fill a target need whole targets, so some are reserved and run empty.
+    If its tasks are small, the whole pool is reserved: the gang starts as soon as enough tasks have
+    ended anywhere in the pool. If each of its tasks fills a target, it needs whole targets, so some
+    targets are reserved and drained of their tasks.
 */
 void reserveFor(scheduler_state &state, const work_item &item, time_point now)
 {
@@ -216,20 +234,22 @@
     }
 }
 
-/** Lets other work into a pool again. */
+/** Ends the reservation of a pool for a gang, if there is one. */
 void endHold(scheduler_state &state, std::uint64_t ticket)
 {
     const auto ended =
         std::erase_if(state.heldPools, [&](const auto &hold) { return hold.second == ticket; });
     if (ended > 0) {
-        // Every pool that shares targets with it may have blocked work that is worth another try.
+        // Work of any pool that shares targets with this one may be blocked and can now be retried.
         for (auto &[name, pool] : state.index.pools) {
             ++pool.releases;
         }
     }
 }
 
-/** Cheap check before a gang is tried in full. */
+/** Whether the total of a pool's free resources suffices for a gang. This cheap check comes before
+    the search for targets.
+*/
 bool hasRoomInSum(const scheduler_state &state, const work_item &item)
 {
     const auto pool = state.index.pools.find(item.service);
@@ -240,6 +260,9 @@
                       pool->second.capacity - pool->second.used);
 }
 
+/** Starts all waiting tasks of a gang if they fit at once, also on the targets reserved for it.
+    Otherwise makes a reservation for the gang once it has waited long enough.
+*/
 bool placeGang(scheduler_state &state, work_item &item, time_point now, schedule_result *result)
 {
     const auto reserved = state.reservations.find(item.ticket);
@@ -283,7 +306,7 @@
     return true;
 }
 
-/** Whether it is of any use to try a piece of work now. */
+/** Whether a work item might start, or lead to a reservation or preemption, if it is tried now. */
 bool isWorthTrying(const scheduler_state &state, const work_item &item, time_point now)
 {
     const bool isIncomplete = item.tasks.size() < static_cast<std::size_t>(item.together);
@@ -299,6 +322,7 @@
         || item.blockedAt != releasesOf(state, item.service);
 }
 
+/** Whether the next start of a work item keeps its team within the upper limit. */
 bool isWithinLimit(const scheduler_state &state, const work_item &item)
 {
     const auto &team = state.teams.at(item.team);
@@ -306,7 +330,9 @@
     return fitsWithin(team.used + timesOf(item.need, together), team.limit);
 }
 
-/** Takes tickets that do not wait any more out of a team's line, in constant time for each. */
+/** Removes the ids of work that no longer waits from a team's queue. The queue is rebuilt only when
+    more than half of it may be removed, so the amortized cost is constant for each id.
+*/
 void removeEnded(const scheduler_state &state, const team_view &team, work_class kind,
                  std::deque<std::uint64_t> *queue)
 {
@@ -317,12 +343,13 @@
     if (queue->size() <= 2 * waiting + keptEnded) {
         return;
     }
-    std::unordered_set<std::uint64_t> seen; // a ticket that waits again stands in line twice
+    std::unordered_set<std::uint64_t> seen; // work that was queued again is in the queue twice
     std::erase_if(*queue, [&](auto ticket) {
         return !state.waiting.contains(ticket) || !seen.insert(ticket).second;
     });
 }
 
+/** Removes a work item all of whose tasks have started. */
 void finishItem(scheduler_state &state, std::uint64_t ticket)
 {
     const auto &item = state.waiting.at(ticket);
@@ -332,7 +359,7 @@
     }
 }
 
-/** Tries the first pieces of work of one team. @return whether something was started */
+/** Starts the first of a team's work items that fits. @return whether one was started */
 bool placeFrom(scheduler_state &state, team_view &team, const std::vector<work_class> &classes,
                time_point now, schedule_result *result)
 {
@@ -364,6 +391,7 @@
     return false;
 }
 
+/** @return since when the longest waiting of the first items of a team's queues has waited */
 time_point oldestWaiting(const scheduler_state &state, const team_view &team,
                          const std::vector<work_class> &classes)
 {
@@ -380,13 +408,13 @@
     return oldest;
 }
 
-/** What a pass keeps for each team that has work. */
+/** A team that has work waiting, during a pass. */
 struct contender
 {
     team_view *team = nullptr;
     double use = 0;
     time_point oldest;
-    bool isExhausted = false;
+    bool isExhausted = false; // nothing more of it can start in this pass
 };
 
 bool comesBefore(const contender &a, const contender &b)
@@ -487,7 +515,7 @@
         return "memory_mb " + std::to_string(need.memoryMb) + ", the largest target has "
             + std::to_string(most.memoryMb);
     }
-    return "no single target has all of it together";
+    return "no single target has enough of all resources";
 }
 
 } // namespace filbert
--- a/modules/filbert_policy/placement_pass.h
+++ b/modules/filbert_policy/placement_pass.h
@@ -7,21 +7,25 @@
 
 namespace filbert {
 
-/** Refuses urgent requests whose time to wait is over. */
+/** Rejects urgent requests that did not start before their deadline. */
 void expireUrgent(scheduler_state &state, time_point now, schedule_result *result);
 
-/** Starts what fits of some classes, the team that is furthest below its share first. */
+/** Starts the work of the given classes that fits. The team with the lowest weighted usage goes
+    first; each start is followed by a new comparison of the teams.
+*/
 void runPass(scheduler_state &state, const std::vector<work_class> &classes, time_point now,
              schedule_result *result);
 
-/** Brings a team's decayed history up to now; before any change of what it uses. */
+/** Brings a team's decayed usage history up to now; to be called before its usage changes. */
 void settleHistory(const scheduler_state &state, team_view &team, time_point now);
 
-/** Gives up the reservation of a gang, or every one that holds a target. */
+/** Releases every reservation of a gang, of targets and of a service pool. */
 void dropReservation(scheduler_state &state, std::uint64_t ticket);
+
+/** Releases the reservation that a target belongs to, if any, including its other targets. */
 void dropReservationsOf(scheduler_state &state, std::uint32_t target);
 
-/** @return which resource no target has enough of, in words */
+/** Describes the resource of which no single target has enough for one task. */
 std::string missingResource(const scheduler_state &state, const work_item &item);
 
 } // namespace filbert
--- a/modules/filbert_policy/resource_amounts.h
+++ b/modules/filbert_policy/resource_amounts.h
@@ -9,7 +9,9 @@
 
 namespace filbert {
 
-/** An amount of each resource: milli-cores, mebibytes, whole accelerators, running tasks. */
+/** An amount of each resource: CPU in milli-cores, memory in MiB, whole accelerators, and slots, of
+    which a running task takes one.
+*/
 struct resource_amounts
 {
     std::int64_t milliCores = 0;
@@ -48,7 +50,12 @@
     return a -= b;
 }
 
-/** @return the need of so many tasks together */
+/** Multiplies a need.
+
+    @param need   of one task
+    @param count  number of tasks
+    @return what all of them need in total
+*/
 inline resource_amounts timesOf(const resource_amounts &need, std::size_t count)
 {
     const auto times = static_cast<std::int64_t>(count);
@@ -56,21 +63,23 @@
             need.slots * times};
 }
 
-/** @return whether a need is within what there is, in every resource */
+/** @return whether the available amount covers a need, in every resource */
 inline bool fitsWithin(const resource_amounts &need, const resource_amounts &room)
 {
     return need.milliCores <= room.milliCores && need.memoryMb <= room.memoryMb
         && need.accelerators <= room.accelerators && need.slots <= room.slots;
 }
 
-/** @return the larger of two amounts, in each resource */
+/** @return the larger of two amounts, for each resource separately */
 inline resource_amounts largerOf(const resource_amounts &a, const resource_amounts &b)
 {
     return {std::max(a.milliCores, b.milliCores), std::max(a.memoryMb, b.memoryMb),
             std::max(a.accelerators, b.accelerators), std::max(a.slots, b.slots)};
 }
 
-/** The largest part of any resource's total (dominant resource fairness, Ghodsi et al. 2011). */
+/** @return the largest used fraction of any resource, as dominant resource fairness defines it
+            (Ghodsi et al. 2011); a resource with a total of 0 does not count
+*/
 inline double dominantShare(const resource_amounts &used, const resource_amounts &total)
 {
     const auto part = [](std::int64_t u, std::int64_t t) {
@@ -80,19 +89,19 @@
                      part(used.accelerators, total.accelerators), part(used.slots, total.slots)});
 }
 
-/** @return the amounts of a message; a task takes one slot even where none is stated */
+/** @return the amounts that a message states. @see taskNeedOf for the need of a task */
 inline resource_amounts amountsOf(const messages::resources &message)
 {
     return {message.milli_cores(), message.memory_mb(), message.accelerators(), message.slots()};
 }
 
-/** @return the need of one task, which takes exactly one slot */
+/** @return the need of one task; it takes exactly one slot, whatever the message states */
 inline resource_amounts taskNeedOf(const messages::resources &message)
 {
     return {message.milli_cores(), message.memory_mb(), message.accelerators(), 1};
 }
 
-/** @return a team's limit; what is not stated is not limited */
+/** @return a team's upper limit; a resource that the configuration leaves out is not limited */
 inline resource_amounts limitOf(const messages::team &team)
 {
     constexpr auto none = std::numeric_limits<std::int64_t>::max() / 4;
@@ -103,7 +112,7 @@
             limit.has_slots() ? limit.slots() : none};
 }
 
-/** @param amounts any @return the same as a message */
+/** @return the amounts as a message */
 inline messages::resources messageOf(const resource_amounts &amounts)
 {
     messages::resources message;
--- a/modules/filbert_policy/scheduler.cpp
+++ b/modules/filbert_policy/scheduler.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-constexpr double seenDecay = 0.9;
+constexpr double seenDecay = 0.9; // of the learned CPU and memory usage, per successful task
 
+/** Makes a target eligible exactly if it is available and not quarantined. */
 void refreshEligibility(scheduler_state &state, const std::string &name)
 {
     const auto found = state.index.byName.find(name);
@@ -22,12 +23,14 @@
     setEligible(state.index, found->second, health.isHeard && !health.isQuarantined);
 }
 
+/** @return how many work items of a class a team may have waiting */
 std::size_t waitingBound(const scheduler_state &state, work_class kind)
 {
     return kind == work_class::Urgent ? state.settings.maxUrgentWaiting
                                       : state.settings.maxJobsWaiting;
 }
 
+/** @return how long work waits before the next attempt, doubling with each failure */
 milliseconds backoffAfter(const scheduler_state &state, int failures)
 {
     constexpr int maxDoublings = 16;
@@ -36,6 +39,7 @@
     return std::min(settings.retryBackoffMax, settings.retryBackoff * (1LL << doublings));
 }
 
+/** Appends work to its team's queue. */
 void enqueue(scheduler_state &state, work_item &&item)
 {
     auto &team = state.teams[item.team];
@@ -49,6 +53,7 @@
     state.waiting.insert_or_assign(ticket, std::move(item));
 }
 
+/** Starts a quarantine, twice as long as the one before if there was no success in between. */
 void quarantine(scheduler_state &state, const std::string &name, target_health &health,
                 time_point now)
 {
@@ -180,7 +185,7 @@
     if (found == state.waiting.end()) {
         return;
     }
-    // Its ticket stays in the team's queue and is passed over there.
+    // The work id stays in the team's queue, where it is skipped.
     --state.teams[found->second.team].waitingCount[static_cast<std::size_t>(found->second.kind)];
     state.waiting.erase(found);
     dropReservation(state, ticket);
@@ -205,7 +210,7 @@
     auto &team = state.teams[task.team];
     settleHistory(state, team, now);
     team.used -= task.need;
-    FILBERT_INVARIANT(fitsWithin({}, team.used), "no team gives back more than it held");
+    FILBERT_INVARIANT(fitsWithin({}, team.used), "the usage of a team is never negative");
     state.runningOnTarget[task.target].erase(placement);
     dropUse(state.index, task.target, task.service, task.need);
 }
@@ -330,7 +335,7 @@
         return dominantShare(team.used, state.index.totalCapacity) / team.share;
     case policy_kind::FirstComeFirstFit:
     case policy_kind::StrictPriority:
-        return 0; // the oldest head decides alone
+        return 0; // teams are ordered by their longest waiting work alone
     case policy_kind::Filbert:
         break;
     }
@@ -344,7 +349,7 @@
 {
     const auto found = state.waiting.find(ticket);
     if (found == state.waiting.end()) {
-        return {"it does not wait", 0, {}};
+        return {"it is not queued at present", 0, {}};
     }
     const auto &item = found->second;
     const auto &team = state.teams.at(item.team);
@@ -360,24 +365,26 @@
     if (pool == state.index.pools.end() || pool->second.targets == 0) {
         reason.text = "no target offers service " + item.service + " at present";
     } else if (!couldEverFit(state.index, item.service, item.need)) {
-        reason.text = "no target could ever hold one task: " + missingResource(state, item);
+        reason.text = "no target has the capacity for one task: " + missingResource(state, item);
     } else if (!fitsWithin(team.used + item.need, team.limit)) {
         reason.text = "team " + item.team + " is at its upper limit";
     } else if (item.notBefore > now) {
-        reason.text = "it failed and is tried again in "
+        reason.text = "a task failed; the next attempt is in "
             + std::to_string((item.notBefore - now).count) + " ms";
     } else if (state.reservations.contains(ticket)) {
-        reason.text = "targets are reserved for it and are running empty";
+        reason.text = "targets are reserved for it and are being drained";
     } else if (const auto hold = state.heldPools.find(item.service);
                hold != state.heldPools.end() && hold->second == ticket) {
-        reason.text = "freed room is being gathered for it";
+        reason.text =
+            "the targets of its service are reserved for it until enough capacity is free";
     } else if (item.kind == work_class::Gang) {
         const bool isIncomplete = item.tasks.size() < static_cast<std::size_t>(item.together);
         reason.text = isIncomplete
-            ? "one of its tasks ended early; the others are being stopped to start again with it"
-            : "room for all " + std::to_string(item.tasks.size()) + " tasks at once is waited for";
+            ? "one of its tasks ended early; the others are being stopped to restart with it"
+            : "waiting for capacity to start all " + std::to_string(item.tasks.size())
+                + " tasks at once";
     } else {
-        reason.text = "targets are full; teams below their share come first";
+        reason.text = "all targets are full; teams that use less of their share go first";
     }
     return reason;
 }
--- a/modules/filbert_policy/scheduler.h
+++ b/modules/filbert_policy/scheduler.h
@@ -16,135 +16,144 @@
 
 namespace filbert {
 
-/** Which work comes first and where it goes; the baselines are for measuring against. */
+/** How work is ordered and targets are chosen. Filbert is the policy in use; the others are
+    baselines for benchmarks.
+*/
 enum class policy_kind {
-    Filbert, // urgent first, dominant share with history, best fit, reservations
+    Filbert, // work classes, dominant share with history, best fit, reservations, preemption
     FirstComeFirstFit,
-    WeightedFair, // weighted tasks running, no classes
-    DominantShare, // DRF without classes or history
-    StrictPriority, // classes, then first come
+    WeightedFair, // running tasks by team weight; no work classes
+    DominantShare, // dominant resource fairness; no work classes, no history
+    StrictPriority, // work classes in order, first come first fit within each
 };
 
-/** Constants of the policy. */
+/** Parameters of the policy. */
 struct policy_settings
 {
     policy_kind kind = policy_kind::Filbert;
-    milliseconds historyHalfLife {300'000};
-    double historyWeight = 0.9;
-    double urgentReserve = 0.03; // part of a pool's cores that only urgent work takes
-    std::size_t maxUrgentWaiting = 2'000; // of one team
-    std::size_t maxJobsWaiting = 50'000; // of one team
-    milliseconds reserveGangAfter {2'000};
-    milliseconds preemptAfter {300}; // an urgent task waits that long before others are stopped
-    milliseconds retryBackoff {500};
+    milliseconds historyHalfLife {300'000}; // of the decayed usage history of a team
+    double historyWeight = 0.9; // of the history in a team's weighted usage; the rest is current
+    double urgentReserve = 0.03; // fraction of a pool's cores and slots kept for urgent work
+    std::size_t maxUrgentWaiting = 2'000; // per team
+    std::size_t maxJobsWaiting = 50'000; // per team
+    milliseconds reserveGangAfter {2'000}; // waiting time before capacity is reserved for a gang
+    milliseconds preemptAfter {300}; // waiting time before batch tasks are stopped for urgent work
+    milliseconds retryBackoff {500}; // after a first failure; doubles with each further one
     milliseconds retryBackoffMax {60'000};
-    milliseconds quarantineFirst {30'000};
+    milliseconds quarantineFirst {30'000}; // doubles with each further quarantine
     milliseconds quarantineMax {600'000};
-    std::size_t quarantineJobs = 3; // failures of that many different jobs in a row
-    std::size_t jobsLookedAt = 16; // of one team in one pass
-    std::size_t preemptionTargets = 64; // looked at for one urgent task
+    std::size_t quarantineJobs = 3; // failures in a row, each of different work
+    std::size_t jobsLookedAt = 16; // work items of a team and class scanned for each start
+    std::size_t preemptionTargets = 64; // candidate targets for one urgent task
 };
 
-enum class work_class { Urgent, Batch, Gang };
+/** How work is scheduled. The values index the arrays of team_view. */
+enum class work_class {
+    Urgent, // a caller waits; may preempt idempotent batch tasks
+    Batch, // each task starts by itself
+    Gang, // all waiting tasks start at once or none does
+};
 
-/** Work to place: an urgent request, or a job with the tasks that wait. */
+/** Work to place: an urgent request, which has one task, or a job with the tasks that wait. */
 struct work_item
 {
-    std::uint64_t ticket = 0; // of a request, or the job's id with the top bit clear
+    std::uint64_t ticket = 0; // work id: of a request, or the job's id, whose top bit is clear
     work_class kind = work_class::Batch;
     std::string team;
     std::string service;
     std::string queue;
-    std::string name; // of the job, for learning
-    resource_amounts declared;
-    resource_amounts need; // declared, or learned if that is more
-    std::vector<std::int32_t> tasks; // that wait; a request has one, number 0
-    std::int32_t size = 1; // of the whole job
-    std::int32_t together = 1; // tasks that must wait before any is started: all of a gang's
-    std::vector<std::string> avoid;
+    std::string name; // of the job; usage estimates are kept by name
+    resource_amounts declared; // of one task
+    resource_amounts need; // of one task: declared, or the estimate where that is larger
+    std::vector<std::int32_t> tasks; // indices of the waiting tasks; a request has only 0
+    std::int32_t size = 1; // tasks of the whole job
+    std::int32_t together = 1; // waiting tasks that any start requires; all of a gang
+    std::vector<std::string> avoid; // names of targets to be passed over
     time_point since;
-    time_point giveUpAt; // urgent only
-    time_point notBefore;
+    time_point giveUpAt; // latest start of urgent work; 0 = none
+    time_point notBefore; // earliest start, after a failure
     milliseconds runTime; // declared; 0 = unknown
     bool isIdempotent = false;
-    std::uint64_t blockedAt = 0; // pool releases when it last did not fit
-    bool isBlocked = false;
+    std::uint64_t blockedAt = 0; // the pool's release count when it last did not fit
+    bool isBlocked = false; // it did not fit; tried again once the release count has changed
     int failures = 0;
-    time_point preemptedAt;
+    time_point preemptedAt; // when tasks were last stopped for it
 };
 
-/** What runs, as the scheduler remembers it. */
+/** A placed task whose resources are in use. */
 struct running_task
 {
-    std::uint32_t target = 0;
+    std::uint32_t target = 0; // number in the target index
     std::uint64_t ticket = 0;
     std::int32_t task = 0;
     work_class kind = work_class::Batch;
     std::string team;
     std::string service;
-    std::string learnName;
+    std::string learnName; // under which its usage is learned
     resource_amounts need;
     time_point since;
     bool isIdempotent = false;
-    bool isStopping = false;
+    bool isStopping = false; // preempted
 };
 
-/** One team's standing. */
+/** What a team may use, uses and waits for. */
 struct team_view
 {
     std::string name;
-    double share = 1;
+    double share = 1; // weight for fair sharing
     resource_amounts limit;
     resource_amounts used;
-    double history = 0; // decayed mean of the dominant share
-    time_point historyAt;
-    std::array<std::deque<std::uint64_t>, 3> waiting; // tickets by class; may hold ended ones
-    std::array<std::size_t, 3> waitingCount {};
+    double history = 0; // exponentially decayed mean of the dominant share
+    time_point historyAt; // when the history was last updated
+    std::array<std::deque<std::uint64_t>, 3> waiting; // work ids by class; some no longer wait
+    std::array<std::size_t, 3> waitingCount {}; // work items that do wait, by class
 };
 
-/** What is known of a target's failures. */
+/** Availability and recent failures of a target. It outlives the target's removal. */
 struct target_health
 {
-    std::set<std::uint64_t> failedJobs; // in a row
-    std::uint64_t nextEvidence = 0; // placements from here on may count as unreachable
-    std::set<std::string> witnesses; // gateways that could not reach it, since the last success
+    std::set<std::uint64_t> failedJobs; // ids of what failed since the last success
+    std::uint64_t nextEvidence = 0; // placements below it no longer count as unreachable
+    std::set<std::string> witnesses; // gateways that could not reach it since the last success
     time_point quarantinedUntil;
-    milliseconds nextQuarantine;
+    milliseconds nextQuarantine; // length of the latest quarantine; 0 = none since a success
     bool isQuarantined = false;
-    bool isHeard = false;
+    bool isHeard = false; // may get work, unless quarantined
 };
 
-/** What was learned of jobs of one name. */
+/** What is learned from finished and running tasks of one name. */
 struct learned_size
 {
-    resource_amounts seen;
-    milliseconds runTime;
+    resource_amounts seen; // largest reported usage; CPU and memory decay with each success
+    milliseconds runTime; // moving average; 0 = unknown
 };
 
-/** Why a piece of work waits. */
+/** Why a work item waits. */
 struct wait_reason
 {
-    std::string text;
-    std::int32_t position = 0;
+    std::string text; // for a person
+    std::int32_t position = 0; // in its team's queue, from 1; 0 = it does not wait
     milliseconds waited;
 };
 
-/** The leader's view of all work and room; rebuilt from the replicated state by each new leader. */
+/** All work and capacity as the leader sees them. It is not replicated: each new leader rebuilds it
+    from the replicated state.
+*/
 struct scheduler_state
 {
     policy_settings settings;
     target_index index;
     std::map<std::string, team_view> teams;
-    std::unordered_map<std::uint64_t, work_item> waiting;
-    std::unordered_map<std::uint64_t, running_task> running; // by placement
-    std::vector<std::unordered_set<std::uint64_t>> runningOnTarget;
-    std::map<std::string, target_health> health;
-    std::unordered_map<std::string, learned_size> learned;
+    std::unordered_map<std::uint64_t, work_item> waiting; // by work id
+    std::unordered_map<std::uint64_t, running_task> running; // by placement id
+    std::vector<std::unordered_set<std::uint64_t>> runningOnTarget; // placement ids by target
+    std::map<std::string, target_health> health; // by target name
+    std::unordered_map<std::string, learned_size> learned; // see learnName()
     std::set<std::string> urgentServices;
-    std::map<std::uint64_t, std::vector<std::uint32_t>> reservations; // targets by gang ticket
-    std::map<std::string, std::uint64_t> heldPools; // by service: the gang that gathers free room
+    std::map<std::uint64_t, std::vector<std::uint32_t>> reservations; // targets by gang
+    std::map<std::string, std::uint64_t> heldPools; // by service: the gang it is kept free for
     std::uint64_t nextPlacement = 1;
-    std::multimap<time_point, std::uint64_t> giveUps;
+    std::multimap<time_point, std::uint64_t> giveUps; // start deadlines of urgent work
 };
 
 /** One task to start. */
@@ -153,23 +162,23 @@
     std::uint64_t placement = 0;
     std::uint64_t ticket = 0;
     std::int32_t task = 0;
-    std::uint32_t target = 0;
+    std::uint32_t target = 0; // number in the target index
 };
 
-/** An urgent request that got no room in time. */
+/** An urgent request that did not start before its deadline. */
 struct refusal_decision
 {
     std::uint64_t ticket = 0;
     error_kind kind = error_kind::NoCapacity;
 };
 
-/** A running task to stop, so that urgent work gets its room. */
+/** A running task to stop so that urgent work can use its resources. */
 struct stop_decision
 {
     std::uint64_t placement = 0;
 };
 
-/** What a pass of schedule() decided. */
+/** The decisions of one call of schedule(). */
 struct schedule_result
 {
     std::vector<placement_decision> placements;
@@ -177,87 +186,109 @@
     std::vector<stop_decision> stops;
 };
 
-/** Takes over a team's share and limit, or forgets a team that has gone. */
+/** Adds a team, or changes its share and limit. @param share not above 0 counts as 1 */
 void setTeam(scheduler_state &state, const std::string &name, double share,
              const resource_amounts &limit);
 
-/** Names the services whose tasks are urgent; a part of their pools is kept from other work. */
+/** Sets which services run urgent tasks; a fraction of their pools is reserved for urgent work. */
 void setUrgentServices(scheduler_state &state, std::set<std::string> services);
 
-/** Takes in a target or its change. @param isHeard whether it may get work, but for quarantine */
+/** Adds a target or applies a change of it.
+
+    @param view     of a known target, usage, reservation and probing stay as they are
+    @param isHeard  whether it may get work; a quarantined target gets none either way
+*/
 void setTarget(scheduler_state &state, target_view view, bool isHeard);
 
-/** Forgets a target whose tasks have all been released. */
+/** Removes a target whose tasks have all been released. */
 void dropTarget(scheduler_state &state, const std::string &name);
 
-/** Takes in work.
+/** Queues work.
 
-    @return LimitReached if the team could never run one such task, NeverFits if no known target
-            could, Overloaded if too much of the team's waits; nothing is kept then
+    @return LimitReached if one such task exceeds the team's limit, NeverFits if the work is urgent
+            and no known target could ever run it, Overloaded if too many work items of the team
+            wait; the work is not queued then
 */
 std::error_code addWork(scheduler_state &state, work_item &&item, time_point now);
 
-/** Lets tasks of a known or forgotten job wait again. */
+/** Queues a task again, together with the job's other waiting tasks if there are any.
+
+    @param item  the job; its failures delay the next start
+    @param task  index of the task
+*/
 void returnTask(scheduler_state &state, work_item &&item, std::int32_t task, time_point now);
 
-/** Forgets waiting work; constant time. */
+/** Removes waiting work. It takes constant time: the work id stays in the team's queue, where it is
+    skipped.
+*/
 void dropWork(scheduler_state &state, std::uint64_t ticket);
 
-/** Changes how many tasks of waiting work must start together. @param ticket may be unknown */
+/** Changes how many tasks must start together; an unknown work id is ignored. */
 void setTogether(scheduler_state &state, std::uint64_t ticket, std::int32_t together);
 
-/** @return the name that sizes and run times of such work are learned under */
+/** @return the key under which usage and run time of such work are learned */
 std::string learnName(const work_item &item);
 
-/** Takes over what runs already, when a leader starts. */
+/** Adds a running task, also one that was placed before this leader started. */
 void noteRunning(scheduler_state &state, std::uint64_t placement, running_task &&task);
 
-/** Gives the room of an ended task back. */
+/** Releases the resources of a task that has ended. */
 void releaseTask(scheduler_state &state, std::uint64_t placement, time_point now);
 
-/** Learns from a task's end: sizes and times of its name, failures of its target. */
+/** Records how a task ended: run time and usage of its name, or a failure of its target. */
 void noteResult(scheduler_state &state, std::uint64_t placement, bool succeeded, time_point now);
 
-/** Counts a failure that lies with a target; after several of different work in a row it gets none.
+/** Counts a failure on a target. After several failures in a row, of different work, the target is
+    quarantined; while it is probed, the first failure suffices.
 
-    @param target  name of it; one that has gone is passed over
-    @param ticket  what failed there
+    @param target  name; a target that has been removed is ignored
+    @param ticket  id of the work that failed
 */
 void noteFailure(scheduler_state &state, const std::string &target, std::uint64_t ticket,
                  time_point now);
 
-/** A placement that never reached its target. */
+/** A gateway's report of a placement that it could not deliver to the target. */
 struct unreachable_report
 {
     std::string target;
     std::uint64_t placement = 0;
-    std::string gateway; // that could not bring it there
-    std::size_t witnesses = 1; // different gateways that must have said so before it counts
+    std::string gateway; // that reports it
+    std::size_t witnesses = 1; // distinct gateways that must report the target before it counts
 };
 
-/** Counts a placement that never reached its target. Those decided before the last one that was
-    counted were lost together with it, and are no further evidence. @see noteFailure */
+/** Counts a placement that could not be delivered as a failure of its target. Placements that were
+    decided before the last counted report may have been lost in the same outage, so they do not
+    count again.
+
+    @see noteFailure
+*/
 void noteUnreachable(scheduler_state &state, const unreachable_report &report, time_point now);
 
-/** A target has started anew, so that what kept requests from it has gone. */
+/** Clears the failures and the quarantine of a target that was reported unreachable. It has
+    restarted, so the cause no longer applies.
+*/
 void forgetUnreachable(scheduler_state &state, const std::string &target);
 
-/** Learns from a target's report on a running task. */
+/** Records the usage that a target reports for a running task. Values below 0 or above the target's
+    capacity are ignored.
+*/
 void noteUsage(scheduler_state &state, std::uint64_t placement, const resource_amounts &used);
 
-/** Decides what starts now. Rooms are taken at once; the caller releases what comes to nothing. */
+/** Decides what starts now. The resources of each placement are in use from then on; the caller
+    releases them with releaseTask() if the task does not start.
+*/
 schedule_result schedule(scheduler_state &state, time_point now);
 
-/** @param ticket of waiting work @return why it waits */
+/** @param ticket work id @return why that work waits */
 wait_reason explainWaiting(const scheduler_state &state, std::uint64_t ticket, time_point now);
 
-/** Ends quarantines whose time is over. */
+/** Ends the quarantines that have expired; those targets are then probed. */
 void reviewQuarantines(scheduler_state &state, time_point now);
 
-/** A team's weighted use; the lowest comes first. */
+/** @return what a team uses in relation to its share; the team with the lowest value goes first */
 double weightedUse(const scheduler_state &state, team_view &team, time_point now);
 
-/** @return how many wait, of one class */
+/** @return the number of waiting work items of a class, over all teams */
 std::size_t countWaiting(const scheduler_state &state, work_class kind);
 
 } // namespace filbert
--- a/modules/filbert_policy/target_index.cpp
+++ b/modules/filbert_policy/target_index.cpp
@@ -16,13 +16,17 @@
     return room.accelerators * coresPerAcceleratorKey + std::max<std::int64_t>(room.milliCores, 0);
 }
 
+/** Whether a target can take a task at present, if the task is small enough. */
 bool isOpen(const target_view &target)
 {
     return target.isEligible && target.reservedFor == 0 && roomOf(target).slots > 0
         && !(target.isProbing && target.used.slots > 0);
 }
 
-/** Takes a target out of the ordered sets, or puts it in, as its present state says. */
+/** Adds a target to the ordered sets or removes it from them. The keys are computed from its
+   present state, so remove it before a change and add it afterwards. A target that cannot take a
+   task is in none of the sets.
+*/
 void enlist(target_index &index, std::uint32_t number, bool isIn)
 {
     const auto &target = index.targets[number];
@@ -42,6 +46,7 @@
     }
 }
 
+/** Adds an eligible target to the totals of its pools and of the index, or subtracts it. */
 void countCapacity(target_index &index, const target_view &target, bool isAdded)
 {
     if (!target.isEligible) {
@@ -67,7 +72,7 @@
     }
 }
 
-/** Changes one target with all sums and sets kept right around the change. */
+/** Changes one target and keeps all totals and ordered sets consistent. */
 template <typename Change>
 void changeTarget(target_index &index, std::uint32_t number, const Change &change)
 {
@@ -79,7 +84,7 @@
     enlist(index, number, true);
 }
 
-/** The cheap path of changeTarget() for a change of use alone. */
+/** Like changeTarget(), but cheaper: for a change of usage only. */
 void changeUse(target_index &index, std::uint32_t number, const std::string &service,
                const resource_amounts &more, const resource_amounts &less, std::int64_t tasks,
                bool isRelease)
@@ -88,7 +93,7 @@
     enlist(index, number, false);
     target.used += more;
     target.used -= less;
-    FILBERT_INVARIANT(fitsWithin({}, target.used), "no target gives back more than it held");
+    FILBERT_INVARIANT(fitsWithin({}, target.used), "the usage of a target is never negative");
     enlist(index, number, true);
     for (const auto &offered : target.services) {
         auto &pool = index.pools[offered];
@@ -121,6 +126,7 @@
         && std::find(avoid.begin(), avoid.end(), target.name) == avoid.end();
 }
 
+/** @return the first target of an ordered set, from a key on, that can take a task; or -1 */
 std::int64_t firstUsable(const target_index &index,
                          const std::set<std::pair<std::int64_t, std::uint32_t>> &set,
                          std::int64_t key, const resource_amounts &need,
@@ -180,7 +186,7 @@
 {
     setEligible(index, target, false);
     FILBERT_INVARIANT(index.targets[target].used == resource_amounts {},
-                      "a target that is forgotten runs nothing");
+                      "a removed target runs nothing");
     index.byName.erase(index.targets[target].name);
     index.targets[target] = {};
     index.freeNumbers.push_back(target);
--- a/modules/filbert_policy/target_index.h
+++ b/modules/filbert_policy/target_index.h
@@ -12,7 +12,7 @@
 
 namespace filbert {
 
-/** One target as placement sees it. */
+/** A target in the index. */
 struct target_view
 {
     std::string name;
@@ -20,88 +20,104 @@
     resource_amounts capacity;
     resource_amounts used;
     std::vector<std::string> services;
-    bool isEligible = false; // heard in this term, leased, not leaving, not quarantined
-    std::uint64_t reservedFor = 0; // gang ticket; 0 = for anybody
-    bool isProbing = false; // quarantined before: one task at a time
+    bool isEligible = false; // may get work: available and not quarantined
+    std::uint64_t reservedFor = 0; // work id of a gang; 0 = not reserved
+    bool isProbing = false; // after a quarantine: one task at a time
 };
 
-/** How many tasks of a service run in a failure domain. */
+/** The targets of a service pool that lie in one failure domain. The sets hold those that can take
+    a task at present, each as a sort key and the target's number.
+*/
 struct domain_pool
 {
-    std::set<std::pair<std::int64_t, std::uint32_t>> byCores; // free cores; no accelerators
-    std::set<std::pair<std::int64_t, std::uint32_t>> byAccelerators; // free devices, then cores
-    std::int64_t running = 0;
+    // Targets without accelerators, by free milli-cores.
+    std::set<std::pair<std::int64_t, std::uint32_t>> byCores;
+    // Targets with accelerators, by free accelerators and then by free milli-cores.
+    std::set<std::pair<std::int64_t, std::uint32_t>> byAccelerators;
+    std::int64_t running = 0; // tasks of the service on all targets of the domain
 };
 
-/** All targets that offer a service. */
+/** All targets that offer one service. */
 struct service_pool
 {
     std::map<std::string, domain_pool> domains;
-    resource_amounts capacity; // of eligible targets
-    resource_amounts used;
-    std::uint64_t releases = 0; // rises whenever room may have appeared
-    std::int64_t targets = 0;
+    resource_amounts capacity; // total of the eligible targets
+    resource_amounts used; // by tasks of any service on the eligible targets
+    std::uint64_t releases = 0; // rises whenever capacity may have become free
+    std::int64_t targets = 0; // number of eligible targets
 };
 
-/** Targets ordered by free room within each service and failure domain, so that a decision looks
-    at a few of them only.
+/** Targets ordered by free resources within each service and failure domain, so that a decision
+    considers only a few of them. A target's number is its position in the list of targets.
 */
 struct target_index
 {
     std::vector<target_view> targets;
     std::unordered_map<std::string, std::uint32_t> byName;
-    std::vector<std::uint32_t> freeNumbers; // of targets that have gone
-    std::unordered_map<std::string, service_pool> pools;
-    resource_amounts totalCapacity;
+    std::vector<std::uint32_t> freeNumbers; // of removed targets, to be reused
+    std::unordered_map<std::string, service_pool> pools; // by service
+    resource_amounts totalCapacity; // of the eligible targets
 };
 
-/** Adds a target or takes over a changed one; what it uses stays. @return its number */
+/** Adds a target or replaces a known one, whose usage and reservation stay. @return its number */
 std::uint32_t upsertTarget(target_index &index, const target_view &view);
 
-/** Forgets a target on which nothing runs; its number may be given to another. */
+/** Removes a target on which nothing runs; its number may be reused. */
 void removeTarget(target_index &index, std::uint32_t target);
 
-/** Changes what a target uses, and counts the service's running tasks in its failure domain. */
+/** Adds a task to a target's usage and to the running tasks of its service and failure domain. */
 void addUse(target_index &index, std::uint32_t target, const std::string &service,
             const resource_amounts &need);
+/** Removes a task that has ended. The release count of the target's pools rises. */
 void dropUse(target_index &index, std::uint32_t target, const std::string &service,
              const resource_amounts &need);
 
-/** Takes back an addUse() that came to nothing within the same decision. */
+/** Undoes an addUse() of the same decision; the release count of the pools stays. */
 void undoUse(target_index &index, std::uint32_t target, const std::string &service,
              const resource_amounts &need);
 
-/** Takes a target in or out of consideration. */
+/** Sets whether a target may get work. Targets that are not eligible do not count as capacity. */
 void setEligible(target_index &index, std::uint32_t target, bool isEligible);
+
+/** Sets whether a target gets one task at a time only. */
 void setProbing(target_index &index, std::uint32_t target, bool isProbing);
+
+/** Reserves a target for a gang. @param ticket work id of the gang, or 0 to end the reservation */
 void setReserved(target_index &index, std::uint32_t target, std::uint64_t ticket);
 
-/** Looks for a target.
+/** Finds a target for a task by best fit.
 
-    The failure domain with the fewest tasks of the service is tried first; in it, the target whose
-    scarce resource is left with least. Hosts with accelerators come last for work that needs none.
+    The failure domain with the fewest running tasks of the service is tried first. Within it, the
+    target with the least free cores that suffice is chosen, or with the least free accelerators if
+    the task needs some. Targets with accelerators come last for a task that needs none.
 
     @param index    all targets
-    @param service  that must be offered
+    @param service  that the target must offer
     @param need     of one task
-    @param avoid    names that are passed over
-    @return a target's number, or -1
+    @param avoid    names of targets that are excluded
+    @return the target's number, or -1
 */
 std::int64_t findTarget(const target_index &index, const std::string &service,
                         const resource_amounts &need, const std::vector<std::string> &avoid);
 
-/** Looks through the targets in the order they came; for the baselines. @return number or -1 */
+/** Finds the first target that fits, by number; for the baseline policies.
+
+    @return the target's number, or -1
+*/
 std::int64_t findFirstTarget(const target_index &index, const std::string &service,
                              const resource_amounts &need);
 
-/** Whether any known target, empty, could ever hold a need. Costly; for work that does not fit. */
+/** @return whether some target that offers the service, eligible or not, has the capacity for a
+            need. The cost is linear in the number of targets, so use it only for work that does
+            not fit at present.
+*/
 bool couldEverFit(const target_index &index, const std::string &service,
                   const resource_amounts &need);
 
-/** @return whether a target runs tasks of a service */
+/** @return whether a target offers a service */
 bool offers(const target_view &target, const std::string &service);
 
-/** @return room left on a target */
+/** @return the free resources of a target */
 resource_amounts roomOf(const target_view &target);
 
 } // namespace filbert
