--- a/modules/filbert_replication/elections.cpp
+++ b/modules/filbert_replication/elections.cpp
@@ -10,12 +10,15 @@
 
 namespace {
 
-// Members stand at different times: many round trips and syncs apart, and yet soon.
-constexpr std::int64_t spreadPart = 2; // of the timeout
-// A try fails when others have heard the leader a little later; it disturbs nobody's term.
-constexpr std::int64_t retryPart = 6; // of the timeout
-
-/** A small generator with its state in the member's state (SplitMix64, Steele et al. 2014). */
+// The random part of an election timeout is at most the timeout divided by this. It spreads the
+// elections of different members many round trips and syncs apart, and still starts them soon.
+constexpr std::int64_t spreadPart = 2;
+// A failed pre-vote is repeated after one to two times the election timeout divided by this. A
+// pre-vote fails if other members heard the leader slightly later than this one; repeating it soon
+// is harmless because it raises no member's term.
+constexpr std::int64_t retryPart = 6;
+
+/** SplitMix64 (Steele et al. 2014), a random generator with its state in the member's state. */
 std::uint64_t nextRandom(replicated_log_state &state)
 {
     std::uint64_t z = (state.randomState += 0x9e3779b97f4a7c15);
@@ -81,7 +84,8 @@
         }
     }
     effects->hasRoleChanged = true;
-    // An entry of the own term commits those of earlier ones (Raft, section 5.4.2).
+    // Entries of earlier terms are committed only together with one of the leader's own term (Raft
+    // paper, section 5.4.2), so a new leader appends an empty entry.
     appendOwn(state, messages::NOOP, {}, effects);
     sendHeartbeats(state, now, effects);
 }
@@ -116,7 +120,7 @@
 void becomeFollower(replicated_log_state &state, std::uint64_t term, const std::string &leader,
                     time_point now, replication_effects *effects)
 {
-    FILBERT_INVARIANT(term >= state.term, "the term never falls");
+    FILBERT_INVARIANT(term >= state.term, "the term never decreases");
     if (term > state.term) {
         state.term = term;
         state.votedFor.clear();
@@ -124,7 +128,8 @@
     }
     effects->hasRoleChanged |= state.role != replica_role::Follower || state.leader != leader;
     if (state.role == replica_role::Leader) {
-        // Its own lease may outlast its step down; it must not help to elect another before.
+        // The own lease may still hold after stepping down; until it has ended, this member must
+        // not vote for another leader.
         state.lastHeard = now;
     }
     state.role = replica_role::Follower;
@@ -167,7 +172,7 @@
     resetElection(state, now);
     if (hasQuorum(state)) {
         becomeLeader(state, now, effects);
-        // The new term is not on the disk yet, so nothing may leave before the sync.
+        // The new term is not on disk yet, so no message may be sent before the sync.
         std::move(effects->early.begin(), effects->early.end(), std::back_inserter(effects->send));
         effects->early.clear();
         return;
--- a/modules/filbert_replication/elections.h
+++ b/modules/filbert_replication/elections.h
@@ -4,17 +4,24 @@
 
 namespace filbert {
 
-/** Steps back to follower, in a term that may be new. */
+/** Becomes a follower in the current or a later term.
+
+    @param leader  the identity of the leader, empty if unknown
+*/
 void becomeFollower(replicated_log_state &state, std::uint64_t term, const std::string &leader,
                     time_point now, replication_effects *effects);
 
-/** Sets the next election a random while ahead. */
+/** Restarts the election timer with a random timeout. */
 void resetElection(replicated_log_state &state, time_point now);
 
-/** Asks whether an election could be won, without disturbing anybody's term. */
+/** Starts a pre-vote, which finds out whether an election could be won without raising any
+    member's term. */
 void startPreVote(replicated_log_state &state, time_point now, replication_effects *effects);
 
-/** Stands for election in a new term. @param isHandOver the leader itself asked for it */
+/** Becomes a candidate in a new term and requests votes.
+
+    @param isTransfer  the leader asked for the election, so voters disregard its lease
+*/
 void startElection(replicated_log_state &state, time_point now, bool isHandOver,
                    replication_effects *effects);
 
@@ -25,14 +32,14 @@
 void takeVoteReply(replicated_log_state &state, const std::string &from,
                    const messages::vote_reply &reply, time_point now, replication_effects *effects);
 
-/** Whether a vote request comes while a leader may hold its lease, so that it must not count. */
+/** Whether a message is a vote request to ignore, because a leader may hold its lease. */
 bool isVoteToIgnore(const replicated_log_state &state, const messages::replication_message &message,
                     time_point now);
 
-/** Whether this member may vote and stand: it is in the membership and no learner. */
+/** Whether a member may vote and be elected: it is in the membership and no learner. */
 bool isVoter(const replicated_log_state &state, const std::string &identity);
 
-/** Whether no other member's vote is needed. */
+/** Whether this member is the only voter. */
 bool isSoleVoter(const replicated_log_state &state);
 
 } // namespace filbert
--- a/modules/filbert_replication/formation.cpp
+++ b/modules/filbert_replication/formation.cpp
@@ -17,7 +17,7 @@
     return now - candidate.askedAt < settings.joinSpan;
 }
 
-/** Whether another process answers at a member's address: the member's disk is gone. */
+/** Whether another process uses a member's address, which means that the member lost its disk. */
 bool isReplaced(const formation_view &view, const messages::member &member,
                 const formation_settings &settings, time_point now)
 {
@@ -62,13 +62,13 @@
     for (const auto &member : members) {
         if (member.learner() && member.identity() != view.self
             && isSilent(view, member.identity(), settings, now)) {
-            return formation_step {false, member, "a learner fell silent"};
+            return formation_step {false, member, "the learner is silent"};
         }
     }
     for (const auto &candidate : view.candidates) {
         const bool isKnown = findMember(*view.members, candidate.self.identity()) != nullptr;
         if (!isKnown && isAsking(candidate, settings, now)) {
-            return formation_step {true, candidate.self, "it asked to join"};
+            return formation_step {true, candidate.self, "the process requested to join"};
         }
     }
     if (countVoters(*view.members) <= wantedVoters(settings)) {
@@ -79,13 +79,14 @@
             continue;
         }
         if (isReplaced(view, member, settings, now)) {
-            return formation_step {false, member, "another process has its address"};
+            return formation_step {false, member, "another process uses the address of the member"};
         }
     }
     for (const auto &member : members) {
         if (member.identity() != view.self && !member.learner()
             && isSilent(view, member.identity(), settings, now)) {
-            return formation_step {false, member, "it is silent and there are enough others"};
+            return formation_step {false, member,
+                                   "the member is silent and there are enough other voters"};
         }
     }
     return std::nullopt;
--- a/modules/filbert_replication/formation.h
+++ b/modules/filbert_replication/formation.h
@@ -9,34 +9,34 @@
 
 namespace filbert {
 
-/** Times and sizes of a membership that repairs itself. */
+/** Limits for the automatic changes of the membership. */
 struct formation_settings
 {
-    int faultTolerance = 1; // members that may be lost at once; from the settings
-    // Longer than an election and a short pause of a member, far below the span within which a lost
-    // disk must be replaced (4 s).
+    int faultTolerance = 1; // members that may fail at the same time
+    // Time without contact after which a member may be removed. Longer than an election and a short
+    // pause of a member, and far below the 4 s within which a lost disk must be replaced.
     milliseconds silentSpan {1'200};
-    milliseconds joinSpan {1'000}; // a member that asks to join is forgotten if it stops asking
+    milliseconds joinSpan {1'000}; // a process that has stopped requesting is not added
 };
 
-/** A process that has asked to become a member. */
+/** A process that requests to become a member. */
 struct join_candidate
 {
     messages::member self;
     time_point askedAt;
 };
 
-/** What the leader knows as it decides on the membership. */
+/** What the leader bases its decision about the membership on. */
 struct formation_view
 {
     const messages::membership *members = nullptr;
     std::string self; // the leader's identity
     std::vector<join_candidate> candidates;
-    std::map<std::string, time_point> heardAt; // by identity; missing = never in this term
+    std::map<std::string, time_point> heardAt; // by identity; missing = none in this term
     time_point leadingSince;
 };
 
-/** A change of the membership that should be made now. */
+/** A change that the leader should make to the membership now. */
 struct formation_step
 {
     bool add = false;
@@ -44,26 +44,27 @@
     std::string reason;
 };
 
-/** @return how many voters the membership should have: a majority must survive the tolerated loss
- */
+/** @return the number of voters of which a majority remains when as many members fail as the
+    settings tolerate */
 int wantedVoters(const formation_settings &settings);
 
-/** Decides the next change of the membership, one at a time.
+/** Decides on the next change of the membership; there is only one change at a time.
 
-    A candidate is added first; a member that is silent, or whose address another process has taken
-    over (its disk is lost), is removed once there are more voters than wanted, so that a quorum
-    never depends on fewer disks than before.
+    A silent learner is removed first, then a process that requests to join is added. A voter
+    that is silent, or whose address another process has taken over because its disk was lost, is
+    removed only once there are more voters than desired, so that a quorum never depends on fewer
+    disks than before.
 
-    @return the change, or nothing
+    @return the change, or nothing if none is needed
 */
 std::optional<formation_step> nextFormationStep(const formation_view &view,
                                                 const formation_settings &settings, time_point now);
 
-/** Picks the one process that starts the log, the same on all.
+/** Whether this process is the one that bootstraps the log. All processes with the same
+    seeds choose the same one.
 
-    @param seeds  addresses that every process was told at its first start
-    @param own    this process' address among them
-    @return whether this process is the one
+    @param seeds  the addresses of all processes, as configured for the first start
+    @param own    the address of this process among them
 */
 bool isFounder(const std::vector<std::string> &seeds, const std::string &own);
 
--- a/modules/filbert_replication/log_access.cpp
+++ b/modules/filbert_replication/log_access.cpp
@@ -12,7 +12,8 @@
     if (entry.kind() != messages::MEMBERSHIP) {
         return;
     }
-    FILBERT_INVARIANT(state.members.ParseFromString(entry.payload()), "a membership can be read");
+    FILBERT_INVARIANT(state.members.ParseFromString(entry.payload()),
+                      "the payload of a membership entry can be parsed");
     state.membersIndex = entry.index();
     std::erase_if(state.followers, [&](const auto &each) {
         return findMember(state.members, each.first) == nullptr;
@@ -29,7 +30,7 @@
 
 void truncateFrom(replicated_log_state &state, std::uint64_t index)
 {
-    FILBERT_INVARIANT(index > state.commit, "a committed entry never changes");
+    FILBERT_INVARIANT(index > state.commit, "a committed entry is never removed");
     while (!state.entries.empty() && state.entries.back().index() >= index) {
         state.entries.pop_back();
     }
@@ -44,7 +45,7 @@
 const messages::log_entry &entryAt(const replicated_log_state &state, std::uint64_t index)
 {
     FILBERT_INVARIANT(index > state.snapshot.index() && index <= lastIndex(state),
-                      "the entry is held");
+                      "the entry is in the log");
     return state.entries[index - state.snapshot.index() - 1];
 }
 
@@ -118,7 +119,7 @@
 void commitTo(replicated_log_state &state, std::uint64_t index, replication_effects *effects)
 {
     const auto target = std::min(index, lastIndex(state));
-    FILBERT_INVARIANT(target >= state.commit, "the commit index never falls");
+    FILBERT_INVARIANT(target >= state.commit, "the commit index never decreases");
     state.commit = target;
     while (state.applied < state.commit) {
         ++state.applied;
@@ -141,7 +142,8 @@
     const bool hasRightTail =
         termAt(state, state.incomingHeader.index()) == state.incomingHeader.term();
     if (hasRightTail) {
-        // What follows may have been counted by a quorum and must stay (Raft, section 7).
+        // The entries after the snapshot may have been acknowledged, so that a quorum depends on
+        // them. They must be kept (Raft paper, section 7).
         while (!state.entries.empty()
                && state.entries.front().index() <= state.incomingHeader.index()) {
             state.entries.pop_front();
@@ -150,7 +152,7 @@
         state.entries.clear();
         state.durable = state.incomingHeader.index();
         effects->persist.clear();
-        effects->mustDropTail = true; // or a restart would take it for what follows the snapshot
+        effects->mustDropTail = true; // otherwise a restart would read it after the snapshot
     }
     state.snapshot = state.incomingHeader;
     state.snapshotData = std::make_shared<const std::string>(std::move(state.incoming));
--- a/modules/filbert_replication/log_access.h
+++ b/modules/filbert_replication/log_access.h
@@ -4,34 +4,36 @@
 
 namespace filbert {
 
-/** Appends an entry of the leader's own. */
+/** Appends an entry of the current term to the leader's own log. */
 void appendOwn(replicated_log_state &state, messages::entry_kind kind, std::string payload,
                replication_effects *effects);
 
-/** Takes one entry of a leader: what stands at its index with another term goes, with all behind.
- */
+/** Appends an entry received from the leader. An entry with the same index and another term is
+    removed together with all entries after it. */
 void appendFromLeader(replicated_log_state &state, const messages::log_entry &entry,
                       replication_effects *effects);
 
-/** Raises the commit index and hands out what is newly committed. */
+/** Raises the commit index and adds the newly committed entries to the effects. */
 void commitTo(replicated_log_state &state, std::uint64_t index, replication_effects *effects);
 
-/** Where a leader should go on after a mismatch at an index; skips a whole term at once. */
+/** The index after which a leader should continue when its previous entry does not match the one
+    held here. Skips all entries of the conflicting term at once. */
 std::uint64_t conflictHint(const replicated_log_state &state, std::uint64_t index);
 
-/** Replaces log and snapshot by the snapshot that has come in whole. */
+/** Replaces the snapshot, and the entries that it covers, by the snapshot that was received
+    completely. */
 void installIncoming(replicated_log_state &state, replication_effects *effects);
 
-/** Finds the newest membership in snapshot and log again. */
+/** Sets the membership to the newest one in the snapshot and the log. */
 void restoreMembers(replicated_log_state &state);
 
 /** @return the membership in force at an index */
 messages::membership membersAt(const replicated_log_state &state, std::uint64_t index);
 
-/** @return the held entry at an index; it must be held */
+/** @return the entry at an index, which must be after the snapshot and in the log */
 const messages::log_entry &entryAt(const replicated_log_state &state, std::uint64_t index);
 
-/** @return term of the last entry */
+/** @return the term of the last entry */
 std::uint64_t lastTerm(const replicated_log_state &state);
 
 } // namespace filbert
--- a/modules/filbert_replication/log_effects.h
+++ b/modules/filbert_replication/log_effects.h
@@ -5,17 +5,19 @@
 
 namespace filbert {
 
-/** Writes what a step of the log wants on the disk, with one sync, and tells the log that it is
-    there. What was written is taken off the effects; effects.mustInstall stays for the caller,
-   whose state the snapshot replaces.
+/** Writes what the effects require to the disk, with one sync, and then calls handlePersisted().
 
-    @return DiskFull if nothing was written, StorageFailed if the process must stop
+    What was written is removed from the effects. effects.mustInstall stays set: the caller has to
+    replace its state by the snapshot.
+
+    @return DiskFull if there was no room, in which case what was not written stays in the effects;
+            StorageFailed if the process must stop
 */
 std::error_code persistEffects(replicated_log_state &log, log_store &store, time_point now,
                                replication_effects *effects);
 
-/** @return whom a message goes to; with an identity alone where the membership that names it is not
-    known here yet */
+/** @return the member that a message is for; only its identity is set if this member's log does not
+    hold the membership that contains it yet */
 messages::member addresseeOf(const replicated_log_state &log,
                              const messages::replication_message &message);
 
--- a/modules/filbert_replication/log_member.cpp
+++ b/modules/filbert_replication/log_member.cpp
@@ -32,7 +32,9 @@
     const auto before = log.role;
     stepTime(log, now, &effects);
     if (before == replica_role::Leader && log.role != replica_role::Leader) {
-        log_line {"leadership_lost"}.with("term", log.term).with("cause", "no quorum was heard");
+        log_line {"leadership_lost"}
+            .with("term", log.term)
+            .with("cause", "no answer from a quorum");
     }
 }
 
@@ -106,7 +108,8 @@
         sendAll(&effects.early);
         const auto error = persistEffects(log, store, now, &effects);
         if (error == error_kind::DiskFull) {
-            // Nothing was written, so nothing may be said; the entries are tried again later.
+            // Nothing was written, so the messages that depend on it must not be sent. The write is
+            // repeated at the next flush.
             if (!std::exchange(hasFullDisk, true)) {
                 log_line {"disk_full", log_line::severity::Error}.with("role", roleName(log.role));
             }
--- a/modules/filbert_replication/log_member.h
+++ b/modules/filbert_replication/log_member.h
@@ -7,46 +7,51 @@
 
 namespace filbert {
 
-/** What a log_member needs from the program around it. */
+/** Callbacks through which a log_member sends messages and changes the replicated state. */
 struct log_member_hooks
 {
-    /** Sends to a member; what is lost is sent again by the protocol. */
+    /** Sends a message to a member; the protocol repeats messages that are lost. */
     std::function<void(const messages::member &, const messages::replication_message &)> send;
     /** Applies a committed entry to the replicated state. */
     std::function<void(const messages::log_entry &)> apply;
     /** Replaces the replicated state by a snapshot. */
     std::function<void(const std::string &)> restore;
-    /** @return the replicated state as bytes */
+    /** @return the serialized replicated state */
     std::function<std::string()> write;
 };
 
-/** When a log_member writes a snapshot. */
+/** When a log_member takes a snapshot. */
 struct snapshot_settings
 {
-    std::uint64_t entries = 1'500; // of 20 commands each: read back in a quarter of a second
-    std::uint64_t bytes = 24 << 20; // two of these and a snapshot fit a disk of 128 MB
-    milliseconds pause {10'000}; // after one that the disk had no room for
+    std::uint64_t entries = 1'500; // of 20 commands each, read back in 250 ms at a restart
+    std::uint64_t bytes = 24 << 20; // of the log; twice this and a snapshot fit a disk of 128 MB
+    milliseconds pause {10'000}; // after a snapshot that found the disk full
 };
 
-/** Most entries that one flush applies: a member with many to catch up with answers others
-    between, or a leader would lose its quorum after a restart of all. 30 ms of work. */
+/** Maximum number of entries that one flush applies, which is about 30 ms of work. A member that
+    has many entries to apply answers the other members between flushes; otherwise a leader would
+    lose its quorum after a restart of all members. */
 constexpr std::size_t entriesPerFlush = 256;
 
-/** One member of a replicated log with its disk: carries out effects in the one safe order.
+/** One member of a replicated log with its disk.
 
-    Early messages, one synced write, other messages, then apply. Feed it with takeMessage(),
-    takeTime() and propose(), then call flush() once for everything that came in: one sync for all.
+    Pass in what happens with handleMessage(), tick() and propose(), then call flush() once for all
+    of it, so that it needs only one sync. flush() carries out the effects in the only safe order:
+    send the messages that may leave before the sync, write and sync, send the other messages, apply
+    committed entries.
 */
 class log_member
 {
 public:
-    /** @param settings   times and sizes of the log
-        @param snapshots  when to compact
+    /** Restores the replicated state from the stored snapshot, if there is one.
+
+        @param settings   timeouts and limits of the log
+        @param snapshots  when to take a snapshot
         @param stored     what the store held at start
-        @param seed       for elections
-        @param store      open; outlives the member
-        @param hooks      called from flush() only
-        @param now        of the clock that counts sleep
+        @param seed       for the random part of election timeouts
+        @param store      already open; outlives the member
+        @param hooks      called from flush() only, except for restore() of the stored snapshot
+        @param now        of monotonicNow(), which counts the time that the host is suspended
     */
     log_member(const replication_settings &settings, const snapshot_settings &snapshots,
                const stored_state &stored, std::uint64_t seed, log_store &store,
@@ -54,31 +59,38 @@
 
     void takeMessage(const messages::replication_message &message, time_point now);
 
-    /** Lets time pass; call it every 10 to 20 ms. */
+    /** Handles all timeouts; call it every 10 to 20 ms. */
     void takeTime(time_point now);
 
-    /** Appends an entry, as the leader. @param index filled in with its index
-        @return as filbert::propose() */
+    /** Appends an entry to the log, if this member leads.
+
+        @param index  set to the index of the entry, or to 0 on an error
+        @return as filbert::propose()
+    */
     std::error_code propose(std::string payload, time_point now, std::uint64_t *index);
 
     /** Adds or removes a member. @return as filbert::changeMembership() */
     std::error_code change(bool add, const messages::member &which, time_point now);
 
-    /** Hands leadership to another member before a planned stop. */
+    /** Transfers leadership to another member, as before a planned stop. */
     void handOverLeadership(time_point now);
 
-    /** Syncs, sends and applies. @return StorageFailed if the process must stop */
+    /** Writes and syncs, sends messages, applies committed entries, and takes a snapshot if one is
+        due. A full disk is no error: the write is repeated at the next flush.
+
+        @return StorageFailed if the process must stop
+    */
     std::error_code flush(time_point now);
 
-    /** Whether this member leads, has applied all that came before, and its lease holds. */
+    /** Whether this member leads, has committed an entry of its own term, and its lease holds. */
     bool isServing(time_point now) const;
 
-    /** Whether it leads and hooks have been given every entry of its log. What is committed is
-       handed out before it is applied: a leader that decided in between would not know what runs.
-     */
+    /** Whether this member leads and has applied every entry of its log. A committed entry may
+        still wait to be applied: a leader that made decisions before that would not know what
+        runs. */
     bool isSettled() const;
 
-    /** @return when anything last came from a member; the start of time if nothing did */
+    /** @return when the last message came from a member, or a zero time if none did */
     time_point heardFrom(const std::string &identity) const;
 
     bool isDiskFull() const { return hasFullDisk; }
--- a/modules/filbert_replication/replicated_log.cpp
+++ b/modules/filbert_replication/replicated_log.cpp
@@ -10,8 +10,11 @@
 
 namespace {
 
+// A learner that lacks at most this many entries has caught up.
 constexpr std::uint64_t learnerCatchUpEntries = 64;
-constexpr int refusalsOfLostEntries = 3; // in a row, of probes with nowhere left to go back to
+// After this many consecutive rejections at the entry after the last acknowledged one, the member
+// is known to have lost entries: there is no earlier entry to go back to.
+constexpr int refusalsOfLostEntries = 3;
 
 void promoteCaughtUpLearner(replicated_log_state &state, time_point now,
                             replication_effects *effects)
@@ -35,7 +38,11 @@
     }
 }
 
-/** The highest value that a majority of voters has reached; 0 if there are no voters. */
+/** @return the highest value that a majority of the voters has reached; 0 if there are no voters
+
+    @param own    the value of this member
+    @param field  the value of another member
+*/
 std::uint64_t agreedByQuorum(const replicated_log_state &state, std::uint64_t own,
                              std::uint64_t follower_progress::*field)
 {
@@ -56,7 +63,7 @@
 void advanceCommit(replicated_log_state &state, time_point now, replication_effects *effects)
 {
     const auto agreed = agreedByQuorum(state, state.durable, &follower_progress::match);
-    // Only an entry of the own term is committed by counting (Raft, section 5.4.2).
+    // Only an entry of the leader's own term is committed by counting (Raft paper, section 5.4.2).
     if (agreed <= state.commit || termAt(state, agreed) != state.term) {
         return;
     }
@@ -64,7 +71,7 @@
     promoteCaughtUpLearner(state, now, effects);
     const auto *self = findMember(state.members, state.self);
     if (self == nullptr && state.membersIndex <= state.commit) {
-        becomeFollower(state, state.term, {}, now, effects); // it was removed
+        becomeFollower(state, state.term, {}, now, effects); // this member was removed
     }
 }
 
@@ -75,8 +82,9 @@
     if (sent == state.roundsSent.end()) {
         return;
     }
-    // Followers refuse to vote for an election timeout after hearing a leader; their clocks may run
-    // fast by the margin that clockRateMargin() adds.
+    // Followers grant no vote for an election timeout after a message from the leader. Their clocks
+    // may run fast by the margin that withClockRateMargin() adds, so the lease is that much
+    // shorter.
     const auto timeout = state.settings.electionTimeout;
     const auto span = timeout - (clockRateMargin(timeout) - timeout);
     state.leaseUntil = std::max(state.leaseUntil, sent->second + span);
@@ -84,7 +92,10 @@
     state.roundsSent.erase(state.roundsSent.begin(), sent);
 }
 
-/** Goes back to where logs may match. @return whether that is elsewhere than before */
+/** Moves the next entry to send back to where the logs may match.
+
+    @return whether that is another entry than before
+*/
 bool takeRefusal(const replicated_log_state &state, const std::string &from,
                  const messages::append_reply &reply, follower_progress *progress)
 {
@@ -92,8 +103,8 @@
     const bool hasMoved = next != progress->next;
     progress->isProbing = true;
     progress->next = next;
-    // Of a later round than the last refusal, it answers a probe from here; others were on their
-    // way.
+    // A reply from a later round than the last rejection answers a probe at this entry; others
+    // answer messages that were sent before.
     const bool isOfProbe = reply.round() > progress->refusedRound;
     progress->refusedRound = state.round;
     if (hasMoved || !isOfProbe) {
@@ -123,14 +134,14 @@
     takeQuorumRound(state);
     if (reply.accepted()) {
         FILBERT_INVARIANT(reply.match() <= lastIndex(state),
-                          "a follower holds no entry that its leader lacks");
+                          "a follower acknowledges no entry that its leader lacks");
         progress.match = std::max(progress.match, reply.match());
         progress.next = std::max(progress.next, progress.match + 1);
         progress.isProbing = false;
         progress.isTakingSnapshot = false;
         progress.refusals = 0;
     } else if (!takeRefusal(state, from, reply, &progress)) {
-        return; // the next heartbeat probes again; an answer to each refusal would never end
+        return; // the next heartbeat probes again; a probe for each rejection would loop forever
     }
     advanceCommit(state, now, effects);
     if (state.role != replica_role::Leader) {
@@ -193,7 +204,7 @@
             .with("leader", request.digest());
     }
     FILBERT_INVARIANT(request.digest() == state.digest,
-                      "the applied state is the same at the same index");
+                      "members have the same applied state at the same index");
 }
 
 void takeAppend(replicated_log_state &state, const std::string &from,
@@ -284,7 +295,7 @@
     using body = messages::replication_message::BodyCase;
     switch (message.body_case()) {
     case body::kVote:
-        // A pre-vote asks about a term that nobody is in yet.
+        // The term of a pre-vote is one that no member has entered yet.
         return message.vote().pre_vote() ? 0 : message.vote().term();
     case body::kVoteReply:
         return message.vote_reply().pre_vote() && message.vote_reply().granted()
@@ -295,7 +306,7 @@
     case body::kSnapshotReply:
         return message.snapshot_reply().term();
     default:
-        return 0; // leaders' messages are weighed by acceptLeader()
+        return 0; // acceptLeader() checks the terms of leaders' messages
     }
 }
 
@@ -326,7 +337,7 @@
     state.entries.assign(stored.entries.begin(), stored.entries.end());
     state.durable = lastIndex(state);
     restoreMembers(state);
-    // A restarted member has forgotten when it last heard a leader whose lease may still run.
+    // A restarted member does not know when it last heard a leader, whose lease may still hold.
     state.lastHeard = now;
     resetElection(state, now);
     return state;
@@ -334,14 +345,14 @@
 
 namespace {
 
-// Twice the longest span between two calls of stepTime() that is asked for.
+// Twice the maximum time between two calls of tickLog() that its documentation requires.
 constexpr milliseconds stallSpan {40};
-// Reading what has queued up takes a turn or two of a busy member.
+// A busy member needs one or two iterations of its event loop to read the queued messages.
 constexpr milliseconds catchUpSpan {50};
 
-/** A follower that stood still for a while calls no leader silent before it has read what came
-    meanwhile. One such pause counts in an election timeout, so that a member which is slow all
-    the time acts too. */
+/** Notices that this member stalled, and then delays its next election until it has read the
+    messages that arrived meanwhile: they may come from a leader. At most one stall counts in an
+    election timeout, so that a member that is always slow can start elections too. */
 void noteStall(replicated_log_state &state, time_point now)
 {
     const bool hasStalled = state.steppedAt.ms > 0 && now - state.steppedAt > stallSpan;
@@ -369,7 +380,8 @@
             sendHeartbeats(state, now, effects);
         }
         if (state.handOverUntil && now >= *state.handOverUntil) {
-            // The request may still arrive late and outdo the lease, so this term cannot go on.
+            // The transferee may still receive the request late, and its election disregards the
+            // lease, so this member cannot continue to lead in this term.
             becomeFollower(state, state.term, {}, now, effects);
         }
         return;
@@ -492,7 +504,7 @@
 
 void compactLog(replicated_log_state &state, std::uint64_t index, std::string data)
 {
-    FILBERT_INVARIANT(index <= state.applied, "a snapshot holds only what was applied");
+    FILBERT_INVARIANT(index <= state.applied, "a snapshot includes only applied entries");
     if (index <= state.snapshot.index()) {
         return;
     }
--- a/modules/filbert_replication/replicated_log.h
+++ b/modules/filbert_replication/replicated_log.h
@@ -14,168 +14,183 @@
 
 namespace filbert {
 
-/** Times and sizes of the replicated log. */
+/** Timeouts and limits of the replicated log. */
 struct replication_settings
 {
-    milliseconds electionTimeout {500}; // the shortest; each try adds up to as much again at random
+    milliseconds electionTimeout {500}; // the minimum; a random time up to half of it is added
     milliseconds heartbeat {100};
     std::size_t appendBytes = 1 << 20;
     std::size_t snapshotChunkBytes = 256 << 10;
-    std::size_t maxUncommitted = 20'000; // entries of a leader that wait for a quorum
+    std::size_t maxUncommitted = 20'000; // entries of a leader that no quorum holds yet
 };
 
 enum class replica_role { Follower, PreCandidate, Candidate, Leader };
 
-/** @param role any @return its name for logs, e.g. "leader" */
+/** @return the name of a role in log lines, for instance "leader" */
 std::string_view roleName(replica_role role);
 
-/** What a leader knows of one other member. */
+/** What a leader knows about the log of another member. */
 struct follower_progress
 {
-    std::uint64_t match = 0; // durable there
-    std::uint64_t next = 1; // to send
+    std::uint64_t match = 0; // the last entry known to be durable there
+    std::uint64_t next = 1; // the next entry to send
     std::uint64_t ackedRound = 0;
-    bool isProbing = true; // one append at a time until logs match
-    bool isWaiting = false; // for an answer to a probe or a snapshot chunk
+    bool isProbing = true; // sends one append at a time until the logs match
+    bool isWaiting = false; // for the reply to a probe or a snapshot chunk
     std::uint64_t snapshotOffset = 0;
     bool isTakingSnapshot = false;
     time_point lastSent;
-    int refusals = 0; // in a row, of what it had acknowledged
-    std::uint64_t refusedRound = 0; // the round in which the last refusal came
+    int refusals = 0; // consecutive ones of entries that it had acknowledged
+    std::uint64_t refusedRound = 0; // the heartbeat round of the last rejection
 };
 
-/** One member of a replicated log: consensus as plain state.
+/** The state of one member of a replicated log.
 
-    Raft (Ongaro and Ousterhout 2014; pre-vote, leadership transfer and one-at-a-time membership
-   from Ongaro's dissertation) with check-quorum and a leader lease. All change goes through the
-   free functions below; they do no I/O and read no clock.
+    The algorithm is Raft (Ongaro and Ousterhout 2014) with pre-vote, leadership transfer and
+    membership changes of one member at a time (all from Ongaro's dissertation), and with
+    check-quorum and a leader lease. The state is changed only by the free functions below, which do
+    no I/O and read no clock: the caller passes the time and carries out the replication_effects.
 */
 struct replicated_log_state
 {
-    std::string self; // identity, made with the data folder
+    std::string self; // identity of this member, created with the data folder
     replication_settings settings;
-    std::uint64_t randomState = 1;
+    std::uint64_t randomState = 1; // of the generator for election timeouts
 
     std::uint64_t term = 0;
     std::string votedFor;
     replica_role role = replica_role::Follower;
-    std::string leader; // identity; empty = unknown
+    std::string leader; // identity; empty if unknown
 
     messages::snapshot_header snapshot;
     std::shared_ptr<const std::string> snapshotData;
     std::deque<messages::log_entry> entries; // those after the snapshot
-    std::uint64_t durable = 0; // last index synced here
+    std::uint64_t durable = 0; // index of the last entry synced on this member
     std::uint64_t commit = 0;
-    std::uint64_t applied = 0; // handed out as committed
+    std::uint64_t applied = 0; // index of the last entry passed to the caller to apply
 
-    messages::membership members; // the newest in the log counts from when it is appended
+    messages::membership members; // the newest in the log, in force as soon as it is appended
     std::uint64_t membersIndex = 0;
 
-    std::map<std::string, bool> votes;
-    std::map<std::string, follower_progress> followers;
-    std::uint64_t round = 0;
-    std::map<std::uint64_t, time_point> roundsSent;
-    time_point leaseUntil;
-    time_point lastHeard; // of a leader, as a follower
-    time_point lastQuorum; // as a leader
+    std::map<std::string, bool> votes; // received as a candidate
+    std::map<std::string, follower_progress> followers; // as a leader, by identity
+    std::uint64_t round = 0; // number of the last heartbeat to all followers
+    std::map<std::uint64_t, time_point> roundsSent; // when rounds without a quorum yet were sent
+    time_point leaseUntil; // as a leader
+    time_point lastHeard; // of a message from a leader; also set at start and on stepping down
+    time_point lastQuorum; // as a leader: when the last round that a quorum answered was sent
     time_point electionAt;
     time_point heartbeatAt;
-    time_point steppedAt; // the last stepTime()
-    time_point catchUpUntil; // after a stall of its own: what others sent meanwhile is read first
-    std::optional<time_point> handOverUntil; // proposals stop, leadership goes to another member
-    std::string handOverMember;
-    std::string incoming; // a snapshot on its way
+    time_point steppedAt; // the last call of tickLog()
+    time_point catchUpUntil; // no election before, so that messages queued in a stall are read
+    std::optional<time_point> handOverUntil; // set during a leadership transfer
+    std::string handOverMember; // identity of the member that leadership is transferred to
+    std::string incoming; // the part of a snapshot that was received so far
     messages::snapshot_header incomingHeader;
 
-    std::uint64_t digestIndex = 0; // of the applied state, compared between members
-    std::uint64_t digest = 0;
+    std::uint64_t digestIndex = 0; // the index at which the digest was computed
+    std::uint64_t digest = 0; // of the applied state; followers compare theirs with the leader's
 };
 
-/** What must be done after a step, in this order: send early, persist, send, install, apply. */
+/** What the caller must do after it has called the functions below, in the order of the fields:
+    send messages, persist, send more messages, install a snapshot, apply entries. */
 struct replication_effects
 {
-    std::vector<messages::replication_message> early; // may leave before the sync
-    bool mustPersist = false; // term, vote and these entries, in one synced write
+    std::vector<messages::replication_message> early; // do not depend on the sync
+    bool mustPersist = false; // term, vote and entriesToPersist, in one synced write
     std::vector<messages::log_entry> persist;
-    std::vector<messages::replication_message> send; // only after the sync
-    bool mustInstall = false; // replace the state by the snapshot in replicated_log_state
-    bool mustDropTail = false; // with mustInstall: stored entries behind the snapshot are void
-    std::vector<messages::log_entry> committed; // to apply, in order
+    std::vector<messages::replication_message> send; // promise what the sync makes durable
+    bool mustInstall = false; // replace the applied state by the snapshot in replicated_log_state
+    bool mustDropTail = false; // with mustInstall: stored entries after the snapshot are invalid
+    std::vector<messages::log_entry> committed; // newly committed ones, in order
     bool hasRoleChanged = false;
 };
 
-/** Makes the state of a member from what its disk holds.
+/** Creates the state of a member from what its disk holds.
 
-    @param stored    as log_store::open() gave it
-    @param settings  times and sizes
+    @param stored    as read by log_store::open()
+    @param settings  timeouts and limits
     @param seed      for the random part of election timeouts
-    @param now       monotonic, milliseconds
+    @param now       the time of monotonicNow()
 */
 replicated_log_state makeReplicatedLog(const stored_state &stored,
                                        const replication_settings &settings, std::uint64_t seed,
                                        time_point now);
 
-/** Lets time pass: elections, heartbeats, check-quorum. Call it at least every 20 ms. */
+/** Handles all timeouts: elections, heartbeats, check-quorum. Call it at least every 20 ms. */
 void stepTime(replicated_log_state &state, time_point now, replication_effects *effects);
 
-/** Takes a message of another member; those for another identity are dropped. */
+/** Handles a message from another member. A message for another identity is ignored. */
 void stepMessage(replicated_log_state &state, const messages::replication_message &message,
                  time_point now, replication_effects *effects);
 
-/** Says that everything in the last effects' persist is synced. */
+/** Reports that the entries up to an index, the term and the vote are synced on this member. */
 void stepPersisted(replicated_log_state &state, std::uint64_t index, time_point now,
                    replication_effects *effects);
 
-/** Appends entries, as the leader.
+/** Appends entries to the log of the leader and replicates them.
 
     @param payloads  one for each entry
-    @return NoLeader if this member does not lead or is handing over; Overloaded if too many wait
+    @return NoLeader if this member does not lead or transfers its leadership; Overloaded if
+            too many entries are not committed yet
 */
 std::error_code propose(replicated_log_state &state, const std::vector<std::string> &payloads,
                         time_point now, replication_effects *effects);
 
-/** Adds a learner, which becomes a voter by itself once it has caught up, or removes a member.
+/** Adds a member as a learner, or removes a member. A learner is promoted to a voter automatically
+    once it has caught up.
 
-    @param add      whether to add; the identity alone counts when removing
-    @return NoLeader, Conflict while another change is under way, NotFound, or no error
+    @param add    whether to add the member or to remove it
+    @param which  the member; only its identity is used to remove it
+    @return NoLeader if this member does not lead yet; Conflict while another change is pending, if
+            the member to add exists, or if no voter would be left; NotFound if the member to remove
+            does not exist
 */
 std::error_code changeMembership(replicated_log_state &state, bool add,
                                  const messages::member &which, time_point now,
                                  replication_effects *effects);
 
-/** What describes a snapshot of the state at an index. @param index applied and still held */
+/** @return the header of a snapshot at an index, which must be applied and still in the log */
 messages::snapshot_header snapshotHeaderAt(const replicated_log_state &state, std::uint64_t index);
 
-/** Takes over a new snapshot of the applied state and drops the entries that it covers.
+/** Replaces the snapshot by a newer one and removes the entries that it covers.
 
-    @param index  the last applied index that it holds
-    @param data   the state
+    @param index  the last index that the snapshot includes; it must be applied
+    @param data   the serialized state at that index
 */
 void compactLog(replicated_log_state &state, std::uint64_t index, std::string data);
 
-/** Hands leadership to the member that is furthest on. @return false if there is none */
+/** Starts to transfer leadership to the voter with the longest log (Ongaro's dissertation, section
+    3.10).
+
+    @return false if this member does not lead, or no voter has acknowledged an entry
+*/
 bool handOver(replicated_log_state &state, time_point now, replication_effects *effects);
 
-/** Whether this member leads and its lease holds, so that no other can have been elected. */
+/** Whether this member leads and its lease holds, so that no other member can have been elected. */
 bool hasLease(const replicated_log_state &state, time_point now);
 
-/** Whether it leads and has applied everything of earlier terms. */
+/** Whether this member leads, transfers its leadership to nobody, and has committed an entry of its
+    own term, and thereby all entries of earlier terms. */
 bool isReadyLeader(const replicated_log_state &state);
 
-/** Whether a member refuses what it had acknowledged: its disk lost synced data. */
+/** Whether a member keeps rejecting entries that it had acknowledged, because its disk lost synced
+    data. */
 bool hasLostEntries(const follower_progress &progress);
 
-/** @return index of the last entry */
+/** @return the index of the last entry */
 std::uint64_t lastIndex(const replicated_log_state &state);
 
-/** @return the term of an entry, or nothing if it is not held any more or not yet */
+/** @return the term of the entry at an index, or nothing if the snapshot covers the entry or it is
+    not in the log yet */
 std::optional<std::uint64_t> termAt(const replicated_log_state &state, std::uint64_t index);
 
 /** @return the member with an identity, or nullptr */
 const messages::member *findMember(const messages::membership &members,
                                    const std::string &identity);
 
-/** Writes the first membership into an empty log: this member alone. Used once in a cell's life. */
+/** @return the first entry of a new log: a membership with this member alone. Used once in the
+    lifetime of a cell. */
 messages::log_entry makeFirstEntry(const messages::member &self);
 
 } // namespace filbert
--- a/modules/filbert_replication/replication_sender.cpp
+++ b/modules/filbert_replication/replication_sender.cpp
@@ -75,7 +75,8 @@
     if (progress.isProbing) {
         progress.isWaiting = true;
     } else {
-        progress.next = index; // sent ahead; a lost message shows as a mismatch later
+        // Assumes that the message arrives; a lost one leads to a mismatch later.
+        progress.next = index;
     }
     effects->early.push_back(std::move(message));
 }
--- a/modules/filbert_replication/replication_sender.h
+++ b/modules/filbert_replication/replication_sender.h
@@ -4,17 +4,20 @@
 
 namespace filbert {
 
-/** Sends one follower what it lacks: entries, or the snapshot where those are gone. */
+/** Sends a follower the entries that it lacks, or the snapshot if that has replaced them. */
 void sendAppend(replicated_log_state &state, const std::string &to, follower_progress &progress,
                 time_point now, replication_effects *effects);
 
-/** Sends all followers what is new. */
+/** Sends all followers the entries that they lack, except where a reply is awaited. */
 void replicate(replicated_log_state &state, time_point now, replication_effects *effects);
 
-/** Starts a new round to all followers, with or without entries. */
+/** Starts a new heartbeat round: sends an append to all followers, with or without entries. */
 void sendHeartbeats(replicated_log_state &state, time_point now, replication_effects *effects);
 
-/** Tells the chosen member to stand for election once it holds everything. */
+/** Requests the transferee to start an election if it holds the whole log.
+
+    @param from  the member that has just acknowledged entries
+*/
 void continueHandOver(replicated_log_state &state, const std::string &from,
                       replication_effects *effects);
 
--- a/modules/filbert_replication/tests/formation_test.cpp
+++ b/modules/filbert_replication/tests/formation_test.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("exactly one process starts the log", "[formation]")
+TEST_CASE("exactly one process bootstraps the log", "[formation]")
 {
     const std::vector<std::string> seeds {"10.2.0.1:80", "10.1.0.9:80", "10.3.0.4:80"};
     int founders = 0;
@@ -51,7 +51,7 @@
     CHECK_FALSE(isFounder({}, "10.1.0.9:80"));
 }
 
-TEST_CASE("a process that asks is added, one at a time; a stale request is not", "[formation]")
+TEST_CASE("a process that requests to join is added, unless its request is stale", "[formation]")
 {
     formation_fixture cell;
     CHECK_FALSE(cell.next());
@@ -67,14 +67,14 @@
     CHECK_FALSE(cell.next());
 }
 
-TEST_CASE("a silent member goes only once there are enough others", "[formation]")
+TEST_CASE("a silent member is removed only once there are enough other voters", "[formation]")
 {
     formation_fixture cell;
     cell.view.heardAt["c"] = cell.now - milliseconds {5'000};
     CHECK_FALSE(cell.next());
     *cell.members.add_members() = memberOf("d", "tcp://host-d", true);
     cell.view.heardAt["d"] = cell.now;
-    CHECK_FALSE(cell.next()); // it does not vote yet
+    CHECK_FALSE(cell.next()); // the learner is no voter yet
     cell.members.mutable_members(3)->set_learner(false);
     const auto step = cell.next();
     REQUIRE(step);
@@ -82,7 +82,7 @@
     CHECK(step->which.identity() == "c");
 }
 
-TEST_CASE("a member whose address another process has taken over goes at once", "[formation]")
+TEST_CASE("a member whose address another process has taken over is removed at once", "[formation]")
 {
     formation_fixture cell;
     cell.view.heardAt["b"] = cell.now - milliseconds {300};
@@ -93,7 +93,8 @@
     CHECK(step->which.identity() == "b");
 }
 
-TEST_CASE("after a restart a member applies its log by parts, and answers between", "[formation]")
+TEST_CASE("a restarted member applies its log in batches, to answer others in between",
+          "[formation]")
 {
     constexpr std::uint64_t entries = 1'000;
     fake_file_system files;
@@ -113,7 +114,7 @@
     }
     REQUIRE(!store.append(1, "", stored.entries));
     std::vector<std::uint64_t> applied;
-    std::vector<std::uint64_t> written; // what was applied when a snapshot was taken
+    std::vector<std::uint64_t> written; // the last applied entry at each snapshot
     log_member_hooks hooks;
     hooks.send = [](const messages::member &, const messages::replication_message &) {};
     hooks.apply = [&](const messages::log_entry &entry) { applied.push_back(entry.index()); };
@@ -131,7 +132,7 @@
     REQUIRE(!member.flush(later));
     CHECK(applied.size() == entriesPerFlush);
     CHECK_FALSE(member.isSettled());
-    CHECK(written.empty()); // a snapshot says what is applied, no more
+    CHECK(written.empty()); // a snapshot would include entries that are not applied yet
     for (int i = 0; i < 4; ++i) {
         REQUIRE(!member.flush(later));
     }
@@ -142,7 +143,8 @@
     CHECK(written[0] == applied.back());
 }
 
-TEST_CASE("a leader is not settled before every entry was applied", "[formation]")
+TEST_CASE("a leader that has not applied its last entry does not report a fully applied log",
+          "[formation]")
 {
     fake_file_system files;
     log_store store {files};
--- a/modules/filbert_replication/tests/replicated_log_test.cpp
+++ b/modules/filbert_replication/tests/replicated_log_test.cpp
@@ -57,7 +57,7 @@
     return message;
 }
 
-/** Makes a member leader of term 2 at a time after its election timeout. */
+/** @return a member that was elected leader of term 2. @param now after its election timeout */
 replicated_log_state leaderAt(time_point now)
 {
     auto state = memberOf("a");
@@ -87,7 +87,7 @@
 
 } // namespace
 
-TEST_CASE("a vote is stored before it is given, and holds after a restart")
+TEST_CASE("a vote is stored before it is granted, and holds after a restart")
 {
     auto state = memberOf("b");
     replication_effects effects;
@@ -102,7 +102,7 @@
     CHECK_FALSE(isGranted(second));
 }
 
-TEST_CASE("no vote is given while a leader may hold its lease")
+TEST_CASE("no vote is granted while a leader may hold its lease")
 {
     auto state = memberOf("b");
     messages::replication_message append;
@@ -153,7 +153,7 @@
     auto learner = memberOf("d");
     replication_effects own;
     stepTime(learner, later, &own);
-    CHECK(own.send.empty()); // it is not in its own membership: it never stands
+    CHECK(own.send.empty()); // it is not in its own membership, so it never starts an election
 }
 
 TEST_CASE("an entry of an earlier term is committed only with one of the leader's own term")
@@ -180,7 +180,7 @@
     CHECK(state.commit == 3);
 }
 
-TEST_CASE("a leader that asked for a hand-over never serves again in its term")
+TEST_CASE("a leader that started a leadership transfer never serves again in its term")
 {
     auto state = leaderAt(later);
     replication_effects effects;
@@ -195,7 +195,7 @@
     CHECK(state.role == replica_role::Follower);
 }
 
-TEST_CASE("a message for another identity is not taken, as after a lost disk")
+TEST_CASE("a message for another identity is ignored, as after a lost disk")
 {
     auto state = memberOf("b-new");
     replication_effects effects;
@@ -204,7 +204,7 @@
     CHECK(effects.send.empty());
 }
 
-TEST_CASE("a snapshot that the own log disagrees with makes the entries behind it void")
+TEST_CASE("a snapshot that conflicts with the log invalidates the entries after it")
 {
     auto state = memberOf("b");
     replication_effects effects;
@@ -232,7 +232,7 @@
     auto *chunk = snapshot.mutable_snapshot();
     chunk->set_term(4);
     chunk->mutable_header()->set_index(2);
-    chunk->mutable_header()->set_term(2); // committed in term 4; this member's is of term 3
+    chunk->mutable_header()->set_term(2); // this member's entry 2 has term 3
     *chunk->mutable_header()->mutable_members() = threeMembers();
     chunk->set_last(true);
     effects = {};
@@ -242,7 +242,8 @@
     CHECK(lastIndex(state) == 2);
 }
 
-TEST_CASE("a member that lost what it had acknowledged is probed once a heartbeat, not for ever")
+TEST_CASE(
+    "a member that lost acknowledged entries is probed once per heartbeat, not in an endless loop")
 {
     auto leader = leaderAt({2'000});
     replication_effects effects;
@@ -253,7 +254,7 @@
     refused.mutable_append_reply()->set_accepted(false);
     effects = {};
     std::size_t sent = 0;
-    for (int i = 0; i < 50; ++i) { // each answer to a refusal would bring the next one
+    for (int i = 0; i < 50; ++i) { // a probe for each rejection would cause the next rejection
         stepMessage(leader, refused, {2'002}, &effects);
         sent += std::exchange(effects.early, {}).size();
     }
@@ -262,7 +263,7 @@
     CHECK_FALSE(effects.early.empty());
 }
 
-TEST_CASE("two learners and the leader are no quorum of three voters")
+TEST_CASE("the leader and two learners are no quorum of three voters")
 {
     auto state = leaderAt(later);
     replication_effects effects;
@@ -288,7 +289,7 @@
     CHECK(state.commit > before);
 }
 
-TEST_CASE("of two voters both must hold an entry")
+TEST_CASE("with two voters both must hold an entry to commit it")
 {
     auto state = leaderAt(later);
     replication_effects effects;
@@ -304,7 +305,8 @@
     CHECK(state.commit == lastIndex(state));
 }
 
-TEST_CASE("a member that stood still reads what came meanwhile before it stands for election")
+TEST_CASE(
+    "a member that stalled reads the messages that came meanwhile before it starts an election")
 {
     auto state = memberOf("a");
     replication_effects effects;
@@ -325,7 +327,7 @@
     CHECK(state.leader == "b");
 }
 
-TEST_CASE("a member that is slow all the time stands for election too")
+TEST_CASE("a member that is always slow starts elections too")
 {
     auto state = memberOf("a");
     replication_effects effects;
