--- a/modules/filbert_storage/file_system.cpp
+++ b/modules/filbert_storage/file_system.cpp
@@ -19,7 +19,7 @@
     return errno == ENOSPC || errno == EDQUOT ? error_kind::DiskFull : error_kind::StorageFailed;
 }
 
-/** A descriptor that is closed with its owner. */
+/** An open file descriptor, closed by the destructor. */
 class open_file
 {
 public:
--- a/modules/filbert_storage/file_system.h
+++ b/modules/filbert_storage/file_system.h
@@ -9,10 +9,11 @@
 
 namespace filbert {
 
-/** The few file operations that storage needs, so that tests can lose what was not synced.
+/** The file operations that storage needs. Tests implement them in memory to simulate the loss of
+    data that was not synced.
 
-    Names are relative to one data folder. A write is durable only after syncFile(), a new, renamed
-    or removed name only after syncFolder().
+    Names are relative to one data folder. A write is durable only after syncFile(). A created,
+    renamed or removed file is durable only after syncFolder().
 */
 class file_system
 {
@@ -29,11 +30,12 @@
     virtual std::error_code syncFolder() = 0;
 };
 
-/** The real files of one folder, which is made if absent and locked against a second process.
+/** Opens a data folder on disk. Creates it if it does not exist and locks it, so that no second
+    process can open it.
 
     @param folder  path of the data folder
-    @param error   FolderInUse or StorageFailed if there is no result
-    @return the files, or nullptr
+    @param error   set to FolderInUse or StorageFailed on failure
+    @return the files, or nullptr on failure
 */
 std::unique_ptr<file_system> openDataFolder(const std::string &folder, std::error_code *error);
 
--- a/modules/filbert_storage/log_store.cpp
+++ b/modules/filbert_storage/log_store.cpp
@@ -20,15 +20,16 @@
 constexpr std::uint64_t segmentBytes = 16 << 20;
 constexpr std::uint32_t maxFrameBytes = 1 << 30;
 
-// Numbers of the frames of a snapshot file: the header, then parts, then the end. A file of format
-// 1 as first written has one frame for the whole state instead of parts and end.
+// The numbers of the frames in a snapshot file: a header, then the chunks of the state, then an end
+// mark. Early files of format 1 have a single frame with the whole state instead of chunks and end.
 constexpr std::uint64_t snapshotHeaderFrame = 1;
 constexpr std::uint64_t wholeStateFrame = 2;
 constexpr std::uint64_t firstPartFrame = 1ULL << 32;
 constexpr std::uint64_t snapshotEndFrame = 1ULL << 33;
-constexpr std::size_t snapshotPartBytes = 1 << 20; // of a snapshot that is written at once
+constexpr std::size_t snapshotPartBytes = 1 << 20; // per chunk of saveSnapshot()
 
-/** In front of each frame's payload, in the host's byte order (little endian on all of ours). */
+/** Precedes the payload of each frame, in the host's byte order; all supported hosts are little
+    endian. */
 struct frame_header
 {
     std::uint32_t magic = frameMagic;
@@ -49,7 +50,7 @@
     return frame;
 }
 
-/** @return the payload of a whole and right frame at an offset, else nothing */
+/** Reads a frame. @return whether there is a complete frame with a valid checksum at the offset */
 bool readFrame(std::string_view content, std::size_t offset, frame_header *header,
                std::string_view *payload)
 {
@@ -168,7 +169,8 @@
     }
     const auto &entries = state->entries;
     if (!entries.empty() && entries.front().index() != state->snapshot.index() + 1) {
-        return damaged(damage, segments.front().name, 0, "entries after the snapshot are missing");
+        return damaged(damage, segments.front().name, 0,
+                       "log entries after the snapshot are missing");
     }
     term = state->term;
     votedFor = state->votedFor;
@@ -188,7 +190,7 @@
         std::string_view payload;
         const bool isRight = readFrame(content, offset, &header, &payload);
         if (!isRight && (!isLast || hasFrameAfter(content, offset))) {
-            return damaged(damage, which.name, offset, "bad checksum before good frames");
+            return damaged(damage, which.name, offset, "invalid frame before valid frames");
         }
         if (!isRight) {
             state->truncatedBytes = content.size() - offset;
@@ -201,11 +203,11 @@
             break;
         }
         if (nextFrame != 1 && header.number != nextFrame) {
-            return damaged(damage, which.name, offset, "a frame is missing");
+            return damaged(damage, which.name, offset, "a frame of the log is missing");
         }
         messages::stored_frame frame;
         if (!frame.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) {
-            return damaged(damage, which.name, offset, "a frame cannot be read");
+            return damaged(damage, which.name, offset, "the payload of a frame cannot be parsed");
         }
         nextFrame = header.number + 1;
         while (frame.drop_after() != 0 && !state->entries.empty()
@@ -244,24 +246,24 @@
     frame_header header;
     std::string_view payload;
     if (!readFrame(content, 0, &header, &payload)) {
-        return damaged(damage, name, 0, "bad checksum of the header");
+        return damaged(damage, name, 0, "invalid frame for the snapshot header");
     }
     if (!state->snapshot.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) {
-        return damaged(damage, name, 0, "the header cannot be read");
+        return damaged(damage, name, 0, "the snapshot header cannot be parsed");
     }
     std::size_t offset = 0;
     std::uint64_t parts = 0;
     do {
         offset += sizeof header + header.length;
         if (!readFrame(content, offset, &header, &payload)) {
-            return damaged(damage, name, offset, "bad checksum of the state");
+            return damaged(damage, name, offset, "invalid frame for the snapshot state");
         }
         const bool isPart = header.number == firstPartFrame + parts;
         if (isPart || header.number == wholeStateFrame) {
             state->snapshotData.append(payload);
             ++parts;
         } else if (header.number != snapshotEndFrame) {
-            return damaged(damage, name, offset, "a part of the state is missing");
+            return damaged(damage, name, offset, "a chunk of the snapshot state is missing");
         }
     } while (header.number != snapshotEndFrame && header.number != wholeStateFrame);
     return {};
@@ -309,12 +311,12 @@
     auto &current = segments.back();
     const auto frame = makeFrame(nextFrame, message.SerializeAsString());
     if (const auto error = files.append(current.name, frame)) {
-        // What was written of the frame is taken back, so that a later frame does not follow it.
+        // Removes the incomplete frame, so that no later frame follows it.
         const bool isUndone = !files.truncate(current.name, current.bytes);
         return error == error_kind::DiskFull && isUndone ? error : error_kind::StorageFailed;
     }
     if (files.syncFile(current.name) || (isNew && files.syncFolder())) {
-        return error_kind::StorageFailed; // what a failed sync left on the disk is unknown
+        return error_kind::StorageFailed; // after a failed sync the content of the disk is unknown
     }
     ++nextFrame;
     current.bytes += frame.size();
@@ -382,7 +384,7 @@
             files.remove(name);
         }
     }
-    // The newest segment stays: it holds the term and the vote.
+    // The newest segment is kept because it holds the term and the vote.
     while (segments.size() > 1 && segments.front().lastIndex <= index) {
         files.remove(segments.front().name);
         segments.erase(segments.begin());
--- a/modules/filbert_storage/log_store.h
+++ b/modules/filbert_storage/log_store.h
@@ -10,7 +10,7 @@
 
 namespace filbert {
 
-/** What a controller must not forget, as read at start. */
+/** The durable state of a member, as read at start. */
 struct stored_state
 {
     std::string identity;
@@ -18,11 +18,11 @@
     std::string votedFor;
     messages::snapshot_header snapshot;
     std::string snapshotData;
-    std::vector<messages::log_entry> entries; // those after the snapshot
-    std::uint64_t truncatedBytes = 0; // of a torn last frame, dropped at start
+    std::vector<messages::log_entry> entries; // after the snapshot
+    std::uint64_t truncatedBytes = 0; // of a torn last frame, cut off at start
 };
 
-/** Where stored data was found damaged; a process must not start on it. */
+/** Where stored data is damaged. A process must not start with damaged data. */
 struct storage_damage
 {
     std::string file;
@@ -32,66 +32,75 @@
 
 /** Term, vote, log and snapshot of one member, in the files of its data folder.
 
-    The log is a row of segment files of frames. One call of append() is one frame with one
-    checksum and one sync, so only the very last frame can be torn: a bad frame with a good one
-    behind it was synced once, and is damage. A failed write or sync is final: the caller must stop.
+    The log is a sequence of segment files, and each segment is a sequence of frames. One call of
+    append() writes one frame with one checksum and one sync, so only the last frame can be torn. An
+    invalid frame before a valid one has been synced, so it is damaged. After any error of a write
+    other than DiskFull the caller must stop, because what the disk holds is unknown.
 
     @see file_system, replicated_log_state
 */
 class log_store
 {
 public:
-    /** @param files  of the data folder; outlives the store */
+    /** @param files  the files of the data folder; they outlive the store */
     explicit log_store(file_system &files);
 
-    /** Makes an empty folder a member's folder. @param identity unique for ever
-        @return Conflict if it was one already, or why it could not be written */
+    /** Initialises an empty data folder.
+
+        @param identity  the identity of the new member, which no other member has ever had
+        @return Conflict if the folder is initialised already, or the error of the write
+    */
     std::error_code initialise(const std::string &identity);
 
-    /** Reads everything back.
+    /** Reads the identity, the newest snapshot and the log. Cuts off a torn last frame.
 
-        @param state   filled in on success
-        @param damage  filled in for StorageDamaged
+        @param state   set on success
+        @param damage  set if the result is StorageDamaged
         @return NotFound if the folder was never initialised, StorageDamaged, StorageFailed
     */
     std::error_code open(stored_state *state, storage_damage *damage);
 
-    /** Writes and syncs one frame. An entry replaces any stored one at its index and beyond.
+    /** Writes and syncs one frame. An entry replaces all stored entries from its index on.
 
-        @param term, votedFor  as of now
-        @param entries         in order; may be empty
-        @return DiskFull if nothing was written for want of room (and nothing changed), or
-                StorageFailed, after which the process must stop
+        @param term, votedFor  the current term and the vote in it
+        @param entries         in the order of their indexes; may be empty
+        @return DiskFull if there was no room and nothing changed, or StorageFailed, after which the
+                process must stop
     */
     std::error_code append(std::uint64_t term, const std::string &votedFor,
                            const std::vector<messages::log_entry> &entries);
 
-    /** Makes all stored entries behind an index void, as one synced frame. @param index the last
-       kept
-        @return as append() */
+    /** Writes and syncs a frame that invalidates all stored entries after an index.
+
+        @param index  the last entry that is kept
+        @return as append()
+    */
     std::error_code dropAfter(std::uint64_t index);
 
-    /** Writes and syncs a whole snapshot, then drops the segments that it covers.
+    /** Writes and syncs a whole snapshot, then removes the segments that it covers.
 
-        @param header  index, term and members at the snapshot
-        @param data    the state there
-        @return DiskFull if nothing changed for want of room, or StorageFailed
-        @see startSnapshot for one that is written while work goes on
+        @param header  index, term and membership of the snapshot
+        @param data    the serialized state at that index
+        @return DiskFull if there was no room and nothing changed, or StorageFailed
+        @see startSnapshot for a snapshot that is written in chunks between other writes
     */
     std::error_code saveSnapshot(const messages::snapshot_header &header, std::string_view data);
 
-    /** Starts to write a snapshot; one that was not finished is given up.
-        @param header  index, term and members at the snapshot @return as saveSnapshot() */
+    /** Starts to write a snapshot. Discards a snapshot that was started before and not finished.
+
+        @param header  index, term and membership of the snapshot
+        @return as saveSnapshot()
+    */
     std::error_code startSnapshot(const messages::snapshot_header &header);
 
-    /** Writes and syncs the next part of it. @return as saveSnapshot() */
+    /** Writes and syncs the next chunk of the started snapshot. @return as saveSnapshot() */
     std::error_code addSnapshotPart(std::string_view part);
 
-    /** Makes the snapshot the one that open() reads, then drops the segments that it covers.
-        @return as saveSnapshot() */
+    /** Completes the started snapshot, so that open() reads it, and removes the segments that it
+        covers. @return as saveSnapshot() */
     std::error_code finishSnapshot();
 
-    /** @return bytes in all live segments */
+    /** @return the size of all segments of the log */
     std::uint64_t logBytes() const;
 
 private:
@@ -116,8 +125,8 @@
     std::uint64_t nextFrame = 1;
     std::uint64_t term = 0;
     std::string votedFor;
-    std::uint64_t snapshotIndex = 0; // of the snapshot that is being written
-    std::uint64_t snapshotParts = 0; // of it so far
+    std::uint64_t snapshotIndex = 0; // of the started snapshot
+    std::uint64_t snapshotParts = 0; // written of the started snapshot
 };
 
 } // namespace filbert
--- a/modules/filbert_storage/tests/fake_file_system.h
+++ b/modules/filbert_storage/tests/fake_file_system.h
@@ -11,7 +11,8 @@
 
 namespace filbert {
 
-/** Files in memory that forget what was not synced when they crash, and tear the last write. */
+/** Files in memory. crash() simulates a power failure, which loses data that was not synced and
+    tears the last write. */
 class fake_file_system : public file_system
 {
 public:
@@ -84,7 +85,8 @@
         return {};
     }
 
-    /** Power is lost: names and bytes that were not synced may be gone, or partly there. */
+    /** Simulates a power failure: file names and bytes that were not synced may be lost, in whole
+        or in part, and the last byte of a partly written file may be wrong. */
     void crash(std::mt19937_64 &random)
     {
         if (random() % 2 == 0) {
@@ -101,7 +103,7 @@
         durable = live;
     }
 
-    /** The disk is replaced by an empty one. */
+    /** Simulates the replacement of the disk by an empty one. */
     void wipe()
     {
         live.clear();
@@ -121,8 +123,8 @@
 
     std::size_t capacity = SIZE_MAX;
     std::uint64_t syncs = 0;
-    std::uint64_t failSyncAt = 0;
-    bool skipsSync = false;
+    std::uint64_t failSyncAt = 0; // syncs fail from this one on; 0 = none
+    bool skipsSync = false; // whether syncs report success without making anything durable
 
 private:
     struct file
--- a/modules/filbert_storage/tests/log_store_test.cpp
+++ b/modules/filbert_storage/tests/log_store_test.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("a folder without an identity is not opened, and none is made twice")
+TEST_CASE("a folder without an identity is not opened, and a folder is initialised only once")
 {
     fake_file_system files;
     std::error_code error;
@@ -59,7 +59,8 @@
     CHECK(log_store {files}.initialise("other") == error_kind::Conflict);
 }
 
-TEST_CASE("what was appended is read back, and a later entry replaces an earlier one")
+TEST_CASE(
+    "appended entries are read back, and a later entry replaces earlier ones from its index on")
 {
     fake_file_system files;
     fill(files, 5);
@@ -75,7 +76,7 @@
     CHECK(state.votedFor.empty());
 }
 
-TEST_CASE("term and vote are read back, without entries too")
+TEST_CASE("term and vote are read back, also from frames without entries")
 {
     fake_file_system files;
     fill(files, 1);
@@ -89,7 +90,7 @@
     CHECK(reopen(files).votedFor == "another");
 }
 
-TEST_CASE("a torn last frame is cut off wherever it was torn")
+TEST_CASE("a torn last frame is cut off at any length")
 {
     fake_file_system whole;
     fill(whole, 3);
@@ -108,7 +109,8 @@
     }
 }
 
-TEST_CASE("damage before good frames is refused with file and offset, and nothing is changed")
+TEST_CASE(
+    "damage before valid frames is reported with file and offset, and the file is not changed")
 {
     fake_file_system files;
     fill(files, 3);
@@ -124,7 +126,7 @@
     CHECK(files.contentOf(firstSegment) == before);
 }
 
-TEST_CASE("a failed sync is final, a full disk is not")
+TEST_CASE("a full disk can be retried, a failed sync cannot")
 {
     fake_file_system files;
     fill(files, 2);
@@ -141,7 +143,7 @@
     CHECK(store.append(3, "", {entryOf(4, 3, "lost")}) == error_kind::StorageFailed);
 }
 
-TEST_CASE("a snapshot in parts counts once it is finished, and a missing part is damage")
+TEST_CASE("a snapshot in chunks is read only once it is finished, and a missing chunk is damage")
 {
     fake_file_system files;
     fill(files, 3);
@@ -172,7 +174,7 @@
     CHECK(damage.offset == unfinished.size());
 }
 
-TEST_CASE("entries behind a point that were made void do not come back")
+TEST_CASE("invalidated entries are not read back")
 {
     fake_file_system files;
     fill(files, 5);
@@ -187,7 +189,7 @@
     CHECK(reopen(files).entries.back().payload() == "again");
 }
 
-TEST_CASE("a crash loses nothing that was synced")
+TEST_CASE("a crash loses no synced data")
 {
     checkProperty([] {
         std::mt19937_64 random {*rc::gen::arbitrary<std::uint64_t>()};
@@ -213,14 +215,14 @@
                 RC_ASSERT(!store.saveSnapshot(header, "state"));
                 snapshotIndex = synced;
             }
-            // The next write is torn: neither synced nor promised.
+            // Data that is not synced, and that no call has reported as durable, may be lost.
             files.append(firstSegment, "");
             files.crash(random);
         }
     });
 }
 
-TEST_CASE("whatever stands in the files, they are read as what was written or refused")
+TEST_CASE("files with arbitrary damage are read as what was written, or rejected as damaged")
 {
     checkProperty([] {
         constexpr std::uint64_t count = 6;
@@ -268,7 +270,7 @@
     });
 }
 
-TEST_CASE("a second process is kept out of a folder")
+TEST_CASE("a second process cannot open a data folder")
 {
     const auto folder = std::filesystem::temp_directory_path()
         / ("filbert-lock-" + std::to_string(monotonicNow().ms));
