--- a/modules/filbert_node/leader_link.cpp
+++ b/modules/filbert_node/leader_link.cpp
@@ -105,17 +105,17 @@
 {
     for (const auto &member : welcome.members()) {
         if (members.insert(member.address()).second) {
-            helloAt = std::min(helloAt, now + settings.retryPause); // it may come to lead
+            helloAt = std::min(helloAt, now + settings.retryPause); // it may become the leader
         }
     }
     const bool isOwnWord = welcome.leader_address() == address;
     if (welcome.leader_address().empty() || (!isOwnWord && hasLeader(now))) {
-        return; // only a leader itself outdoes what another controller believes
+        return; // only the leader's own welcome replaces a leader that is still in contact
     }
     const bool isDenied =
         welcome.leader_address() == denier && now - deniedAt < settings.helloPeriod;
     if (isDenied && !isOwnWord) {
-        return; // others have not heard yet that it does not serve
+        return; // others do not know yet that it denied leading
     }
     if (welcome.leader_address() == leader) {
         leaderHeardAt = isOwnWord ? now : leaderHeardAt;
--- a/modules/filbert_node/leader_link.h
+++ b/modules/filbert_node/leader_link.h
@@ -12,45 +12,59 @@
 
 namespace filbert {
 
-/** Times of a leader_link. */
+/** Identity, abilities and timing of a leader_client. */
 struct leader_link_settings
 {
-    std::string name; // of this process, unique among all
-    // Above every id that an earlier process of this name has used: its answers fit no request.
+    std::string name; // of this process, unique in the cell
+    // Request ids start above this value. It must exceed every id that an earlier process of the
+    // same name has used, so that late answers to that process match no request of this one.
+    // Controllers also use it to tell two processes of the same name apart.
     std::uint64_t idsAbove = 0;
-    bool asksAdmission = false; // whether it can call the policy service
-    bool carriesOrders = false; // whether it can call targets
-    std::string failureDomain; // of this process' host
-    std::uint32_t linkMbps = 0; // of this process' host; 0 = not known
-    milliseconds helloPeriod {300}; // three fit into the span after which a caller counts as gone
-    milliseconds searchPeriod {100}; // between hellos while no leader is known: work waits
-    milliseconds resendAfter {600}; // several times the longest commit; requests can be repeated
-    milliseconds retryPause {60}; // after an answer that there is no leader
-    milliseconds unsentSpan {1'500}; // a request waits for an election, but not longer
-    milliseconds silentSpan {1'000}; // three hellos without an answer: the connection is renewed
+    bool asksAdmission = false; // whether this process can call the policy service
+    bool carriesOrders = false; // whether this process can pass a leader's orders on to targets
+    std::string failureDomain; // of this process's host
+    std::uint32_t linkMbps = 0; // bandwidth of this process's host; 0 = unknown
+    // Three hellos fit into the time after which controllers consider a silent process lost.
+    milliseconds helloPeriod {300};
+    // Between hellos while no leader is known. It is shorter, since requests wait meanwhile.
+    milliseconds searchPeriod {100};
+    // Until a request without an answer is sent again, which is safe for every request. It is
+    // several times as long as the longest commit.
+    milliseconds resendAfter {600};
+    milliseconds retryPause {60}; // after an answer that the controller does not lead
+    // For requests that cannot be sent because there is no leader; it covers an election.
+    milliseconds unsentSpan {1'500};
+    // Without any message, after which a connection is re-established and a leader is considered
+    // lost: three hellos without an answer.
+    milliseconds silentSpan {1'000};
 };
 
-/** What became of a request. */
+/** The outcome of a request. */
 struct link_result
 {
     bool isAnswered = false;
-    bool wasSent = false; // it may have been carried out though no answer came
+    bool wasSent = false; // without an answer, the request may still have taken effect
     messages::work_answer answer;
 };
 
-/** What a leader_link needs from the program around it. */
+/** The functions that a leader_client calls in its program. */
 struct leader_link_hooks
 {
+    /** @return whether the message was handed to a connection */
     std::function<bool(const std::string &address, const messages::work_envelope &)> send;
+    /** Replaces the connection to an address by a new one. */
     std::function<void(const std::string &address)> reconnect;
+    /** Calls the policy service for the leader at an address, which gets the answer. */
     std::function<void(const messages::admission_request &, const std::string &address)> admit;
+    /** Sends a leader's orders to their targets; the answers go to the leader's address. */
     std::function<void(const messages::carried_orders &, const std::string &address)> carry;
 };
 
-/** Carries requests to whichever controller leads, and says hello to all of them.
+/** Sends requests to whichever controller leads, and announces this process to all controllers.
 
-    Every request may be repeated, so that one without an answer is sent again, to the next leader
-    if there is one. It ends once: with an answer, or at its deadline without.
+    Requests are idempotent: one without an answer is sent again, to a new leader if there is one.
+    Each call completes exactly once: with an answer, or without one at its deadline or when no
+    leader was found in time.
 */
 class leader_link
 {
@@ -59,27 +73,37 @@
 
     leader_link(const leader_link_settings &settings, leader_link_hooks hooks);
 
-    /** @param addresses of controllers that the settings name; others are learned */
+    /** Sets the controllers to contact first; further ones are learned from their welcomes.
+        @param addresses  of controllers, as configured
+    */
     void setSeeds(const std::vector<std::string> &addresses);
 
-    /** @param deadline when the caller stops to wait @param onEnd called once, maybe at once */
+    /** Sends a request to the leader.
+        @param deadline  when the call completes without an answer
+        @param onEnd     called exactly once, possibly before this returns
+    */
     void call(const messages::work_request &request, time_point now, time_point deadline,
               handler onEnd);
 
-    /** Says from now on that this process takes no more work for the leader, before it stops. */
+    /** Announces that this process accepts no more work from the leader, before it stops. Requests
+        can still be sent.
+    */
     void stopServing();
 
-    /** Takes an answer, a welcome or a request for admission. @param address it came from */
+    /** Handles a message of a controller: an answer, a welcome, an admission request or orders to
+        relay.
+        @param address  of the controller that sent it
+    */
     void takeEnvelope(const std::string &address, const messages::work_envelope &envelope,
                       time_point now);
 
-    /** Lets time pass; call it every 10 to 20 ms. */
+    /** Sends what is due and completes expired calls; call it every 10 to 20 ms. */
     void takeTime(time_point now);
 
-    /** Whether a leader was heard of lately. */
+    /** @return whether a leader is known and has been in contact recently */
     bool hasLeader(time_point now) const;
 
-    /** @return addresses of all controllers that are known */
+    /** @return the addresses of all known controllers */
     std::set<std::string> addresses() const;
 
     std::size_t openCalls() const { return calls.size(); }
@@ -107,9 +131,9 @@
     std::set<std::string> members;
     std::map<std::string, time_point> heardAt;
     std::map<std::string, time_point> renewedAt;
-    std::string leader; // address
+    std::string leader; // address of the leader; empty = unknown
     time_point leaderHeardAt;
-    std::string denier; // address of the last that said it leads no more, or not yet
+    std::string denier; // address of the last controller that denied leading
     time_point deniedAt;
     std::map<std::uint64_t, open_call> calls;
     std::uint64_t lastExchange = 0;
--- a/modules/filbert_node/order_relay.cpp
+++ b/modules/filbert_node/order_relay.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// A host with so much less bandwidth than another would be filled by starts with their texts while
-// the other is idle.
+// A relay is not used if another one's link is more than this many times as wide: start orders
+// carry whole task specifications and would saturate the narrow link while the wide one is idle.
 constexpr std::uint64_t narrowFactor = 10;
 
-/** @return how much a carrier weighs for a target: the same in every process */
+/** @return the rendezvous-hashing weight of a relay for a target, the same in every process */
 std::size_t hashOf(const std::string &target, const std::string &carrier)
 {
     std::string both = target;
@@ -41,7 +41,7 @@
     const bool isNew = known == carriers.end() || known->second.heardAt.ms == 0;
     const bool isReplaced = known != carriers.end() && known->second.about.process != about.process;
     if (isReplaced) {
-        loseCarrier(name, "its process was replaced", now);
+        loseCarrier(name, "its process was replaced by a new one", now);
     }
     if (isNew || isReplaced) {
         chosen.clear();
@@ -77,8 +77,8 @@
         widest =
             isHeard(carrier) ? std::max<std::uint64_t>(widest, carrier.about.linkMbps) : widest;
     }
-    // Rendezvous hashing: a carrier that comes or goes moves only its own share of the targets,
-    // and a target's connections stay with one carrier.
+    // Rendezvous hashing: a relay that appears or is lost moves only its own share of the targets,
+    // and a target's connections stay with one relay.
     std::string best;
     std::pair<bool, std::size_t> bestWeight;
     for (const auto &[name, carrier] : carriers) {
@@ -150,7 +150,7 @@
     for (const auto &message : answers.answers()) {
         const auto found = open.find(message.id());
         if (found == open.end() || found->second.carrier != carrier) {
-            continue; // it came too late
+            continue; // the order has ended already
         }
         const auto order = std::move(found->second.order);
         open.erase(found);
@@ -160,15 +160,15 @@
 
 void order_relay::takeTime(time_point now)
 {
-    std::map<std::string, std::string> lost; // by carrier: why
+    std::map<std::string, std::string> lost; // reason by relay
     for (const auto &[id, each] : open) {
         if (now >= each.deadline) {
-            lost.emplace(each.carrier, "an order has no answer");
+            lost.emplace(each.carrier, "an order timed out without an answer");
         }
     }
     for (const auto &[name, carrier] : carriers) {
         if (carrier.heardAt.ms != 0 && now - carrier.heardAt >= settings.carrierSpan) {
-            lost.emplace(name, "it is silent");
+            lost.emplace(name, "no hello within the timeout");
         }
     }
     for (const auto &[name, reason] : lost) {
--- a/modules/filbert_node/order_relay.h
+++ b/modules/filbert_node/order_relay.h
@@ -10,80 +10,97 @@
 
 namespace filbert {
 
-/** Times and sizes of an order_relay. */
+/** Limits and timing of an order_router. */
 struct order_relay_settings
 {
-    // Above every id that an earlier process of this name has used: its answers fit no order.
+    // Order ids start above this value. It must exceed every id that an earlier process of the same
+    // name has used, so that late answers to that process match no order of this one.
     std::uint64_t idsAbove = 0;
-    // A conversation with a target costs a leader about 1 ms of processor a second; beyond this
-    // many the leader's host would have little left for decisions.
+    // With more targets than this, orders go through relays. Polling one target costs the leader
+    // about 1 ms of processor time a second; with more of them, its host would have little left for
+    // scheduling.
     std::size_t ownTargets = 100;
-    milliseconds carrierSpan {1'000}; // three missed hellos
-    // After a restart of all, entry hosts find the new leader within their hello period; calls of
-    // so many targets from here would take the leader as long as that.
+    milliseconds carrierSpan {1'000}; // without a hello, after which a relay is lost: three hellos
+    // Time for which the orders of a new term wait for the first relay. When a whole cell restarts,
+    // entry hosts find the new leader within their hello period; calling that many targets itself
+    // would take the leader as long.
     milliseconds carrierWait {400};
-    milliseconds answerGrace {350}; // on top of the order's own time: two hops and a turn each
+    milliseconds answerGrace {350}; // on top of the order's timeout: two hops and a loop turn each
 };
 
-/** What a process that carries orders says of itself. */
+/** What a relay reports of itself in its hellos. */
 struct order_carrier_view
 {
     std::string failureDomain;
-    std::uint64_t process = 0; // differs between two processes of one name
-    std::uint32_t linkMbps = 0; // of its host; 0 = not known
+    std::uint64_t process = 0; // differs between successive processes of one name
+    std::uint32_t linkMbps = 0; // bandwidth of its host; 0 = unknown
 };
 
-/** Passes a leader's orders to processes near the targets, or makes the calls itself where there
-    are few targets.
+/** Sends a leader's orders to targets: directly where there are few targets, otherwise through
+    relays, processes that pass the orders on and return the targets' answers.
 
-    Each target has one carrier, so that its connections stay: of its own failure domain if there
-    is one, and none with a much narrower link than another has.
+    Each target has one relay, so that connections to it are reused. The relay is in the target's
+    failure domain if possible, and is never one whose link is much narrower than another relay's.
 
-    An order ends once: with the carrier's answer, or as CarrierLost when that does not come. What
-    protects targets from late orders (leases, run numbers, fencing tokens) does so here too.
+    Each order ends exactly once: with the answer that its relay returns, or as CarrierLost if that
+    does not come in time. Leases, run numbers and fencing tokens protect targets from late orders,
+    relayed or not.
 */
 class order_relay
 {
 public:
+    /** The functions that the router calls in its owner. */
     struct hooks
     {
+        /** Sends a message to a relay. */
         std::function<void(const std::string &carrier, const messages::work_envelope &)> send;
-        std::function<void(const target_order &)> callTarget; // from this process
+        /** Calls the target directly; its answer does not pass through the router. */
+        std::function<void(const target_order &)> callTarget;
+        /** Called once for each order that was sent to a relay, unless its term ends before. */
         std::function<void(const target_order &, const order_answer &)> onAnswer;
     };
 
     order_relay(const order_relay_settings &settings, hooks given);
 
-    /** A process said that it carries orders.
-        @param about  what it said of itself; where its process differs from the one before, what
-                      that one had taken ends as CarrierLost at once
+    /** Handles the hello of a process that relays orders.
+        @param about  what it reports of itself; if the process replaces an earlier one of the same
+                      name, the pending orders of the earlier one end as CarrierLost at once
     */
     void takeCarrier(const std::string &name, const order_carrier_view &about, time_point now);
 
-    /** A process said that it carries none (any more): it stops, or never did. */
+    /** Handles the hello of a process that relays no orders, or no more since it stops. It still
+        answers the orders that it has.
+    */
     void dropCarrier(const std::string &name);
 
-    /** @param targets  how many there are @param failureDomain of the order's target */
+    /** Calls the target directly, or queues the order for the next flush().
+        @param targets        number of targets in the cell
+        @param failureDomain  of the order's target
+    */
     void send(const target_order &order, std::size_t targets, const std::string &failureDomain,
               time_point now);
 
-    /** Sends what send() has gathered; call it once a turn, and only while its term is served. */
+    /** Sends the queued orders to their relays. Call it once per turn of the event loop, and only
+        while this controller still holds the leader's lease of the orders' term.
+    */
     void flush(time_point now);
 
+    /** Handles the answers that a relay returns; those that match no pending order are ignored. */
     void takeAnswers(const std::string &carrier, const messages::carried_answers &answers);
 
-    /** Ends the orders of carriers that are silent, or have not answered one of them in time. */
+    /** Ends all orders of each relay that is silent, or has not answered one order in time. */
     void takeTime(time_point now);
 
-    /** Forgets all open orders, since their term is over; those of the new one wait a little where
-        no carrier is known yet. */
+    /** Discards all orders, since their term has ended. Orders of the new term wait for a short
+        time if no relay is known yet.
+    */
     void startTerm(time_point now);
 
 private:
     struct carrier_state
     {
         order_carrier_view about;
-        time_point heardAt; // 0 = lost: not before its next hello
+        time_point heardAt; // its last hello; 0 = lost, not used before its next hello
     };
 
     struct open_order
@@ -110,24 +127,25 @@
     order_relay_settings settings;
     hooks given;
     std::map<std::string, carrier_state> carriers;
-    std::unordered_map<std::string, std::string> chosen; // by target, as long as carriers stay
+    // Relay by target; cleared when the set of relays changes.
+    std::unordered_map<std::string, std::string> chosen;
     std::map<std::uint64_t, open_order> open;
-    std::map<std::string, messages::work_envelope> gathered; // by carrier
-    std::vector<held_order> held; // until a carrier is known
+    std::map<std::string, messages::work_envelope> gathered; // for the next flush, by relay
+    std::vector<held_order> held; // until a relay is known, or the wait for one is over
     time_point carriersAwaitedUntil;
     std::uint64_t lastId = 0;
 };
 
-/** @param order to carry @return it as a message, without an id */
+/** @return an order as a message to a relay, without an id */
 messages::carried_order carriedOrderOf(const target_order &order);
 
-/** @return the order that a message holds */
+/** @return the order in a message to a relay */
 target_order orderOf(const messages::carried_order &message);
 
-/** @param answer to an order @return it as a message, without an id */
+/** @return a target's answer as a message from a relay, without an id */
 messages::carried_answer carriedAnswerOf(const order_answer &answer);
 
-/** @return the answer that a message holds */
+/** @return the target's answer in a message from a relay */
 order_answer answerOf(const messages::carried_answer &message);
 
 } // namespace filbert
--- a/modules/filbert_node/tests/leader_link_test.cpp
+++ b/modules/filbert_node/tests/leader_link_test.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-TEST_CASE("a request without a leader ends unsent, long before its deadline", "[link]")
+TEST_CASE("a request completes unsent well before its deadline if no leader is found", "[link]")
 {
     link_fixture cell;
     std::optional<link_result> result;
@@ -76,7 +76,7 @@
     CHECK_FALSE(result->wasSent);
 }
 
-TEST_CASE("a request goes to the next leader when the first says that it is none", "[link]")
+TEST_CASE("a request is sent to the new leader after the first controller denies leading", "[link]")
 {
     link_fixture cell;
     cell.welcome("tcp://c1", "tcp://c1");
@@ -99,7 +99,7 @@
     CHECK(cell.link.openCalls() == 0);
 }
 
-TEST_CASE("a request without an answer is repeated, and ends at its deadline as sent", "[link]")
+TEST_CASE("an unanswered request is resent, and completes as sent at its deadline", "[link]")
 {
     link_fixture cell;
     cell.welcome("tcp://c1", "tcp://c1");
@@ -113,7 +113,7 @@
     CHECK(result->wasSent);
 }
 
-TEST_CASE("what a follower believes does not outdo a leader that was heard lately", "[link]")
+TEST_CASE("a follower's welcome does not replace a leader that is still in contact", "[link]")
 {
     link_fixture cell;
     cell.welcome("tcp://c1", "tcp://c1");
@@ -123,7 +123,7 @@
     CHECK(cell.requestsTo() == std::vector<std::string> {"tcp://c1"});
 }
 
-TEST_CASE("a silent connection is renewed", "[link]")
+TEST_CASE("a silent connection is re-established", "[link]")
 {
     link_fixture cell;
     cell.welcome("tcp://c1", "tcp://c1");
@@ -131,7 +131,7 @@
     CHECK(std::count(cell.renewed.begin(), cell.renewed.end(), "tcp://c1") >= 1);
 }
 
-TEST_CASE("a controller that a process hears of gets its hello soon", "[link]")
+TEST_CASE("a newly learned controller gets a hello soon", "[link]")
 {
     link_fixture cell;
     cell.welcome("tcp://c1", "tcp://c1");
@@ -145,12 +145,12 @@
                       [](const auto &each) { return each.first == "tcp://c3"; }));
 }
 
-TEST_CASE("without a leader hellos are more frequent", "[link]")
+TEST_CASE("hellos are sent more often while no leader is known", "[link]")
 {
     const auto hellosOf = [](link_fixture &cell) {
         cell.sent.clear();
         cell.pass({900});
-        return cell.sent.size() / 2; // to two controllers each
+        return cell.sent.size() / 2; // each goes to two controllers
     };
     link_fixture searching;
     CHECK(hellosOf(searching) >= 8);
@@ -159,7 +159,7 @@
     CHECK(hellosOf(settled) <= 4);
 }
 
-TEST_CASE("a process that stops says so in its next hello", "[link]")
+TEST_CASE("a stopping process announces it in its next hello", "[link]")
 {
     link_fixture cell;
     cell.pass({40});
@@ -170,8 +170,9 @@
     CHECK_FALSE(cell.sent.back().second.hello().carries_orders());
 }
 
-TEST_CASE("a leader that serves not, though others believe in it, is not asked without a pause",
-          "[link]")
+TEST_CASE(
+    "a controller that denies leading is not flooded with requests while others still name it",
+    "[link]")
 {
     link_fixture cell;
     cell.welcome("tcp://c2", "tcp://c1");
@@ -179,7 +180,8 @@
     messages::work_envelope denial;
     denial.mutable_answer()->set_kind(messages::ANSWER_NO_LEADER);
     std::size_t answered = 0;
-    // All that was sent is answered at once, as fast as the network allows: 1 ms.
+    // Everything that was sent is answered after a network delay of 1 ms. Without pauses between
+    // retries, denials and welcomes would make the client resend requests and hellos each time.
     for (const auto end = cell.now + milliseconds {600}; cell.now < end;
          cell.now = cell.now + milliseconds {1}) {
         cell.link.takeTime(cell.now);
@@ -195,7 +197,7 @@
     }
     CHECK(cell.requestsTo().size() <= 4);
     CHECK(cell.sent.size() <= 30);
-    cell.welcome("tcp://c1", "tcp://c1"); // its own word counts at once
+    cell.welcome("tcp://c1", "tcp://c1"); // the leader's own welcome counts at once
     const auto before = cell.requestsTo().size();
     cell.pass({100});
     CHECK(cell.requestsTo().size() > before);
--- a/modules/filbert_node/tests/order_relay_test.cpp
+++ b/modules/filbert_node/tests/order_relay_test.cpp
@@ -54,11 +54,11 @@
 
 } // namespace
 
-TEST_CASE("few targets are called by the leader itself, many through carriers", "[relay]")
+TEST_CASE("few targets are called directly, many through relays", "[relay]")
 {
     relay_fixture cell;
     cell.send("t1");
-    CHECK(cell.called.size() == 1); // there is no carrier
+    CHECK(cell.called.size() == 1); // directly, since there is no relay
     cell.relay.takeCarrier("g1", {"a", 1}, cell.now);
     cell.send("t1", 48);
     CHECK(cell.called.size() == 2);
@@ -68,7 +68,7 @@
     CHECK(cell.sent[0].first == "g1");
 }
 
-TEST_CASE("a new leader's orders wait a little for the first carrier, then it calls itself",
+TEST_CASE("a new leader's orders wait briefly for a relay, then go directly to the target",
           "[relay]")
 {
     relay_fixture cell;
@@ -86,10 +86,10 @@
     CHECK(cell.sent.size() == (comesOne ? 1 : 0));
     CHECK(cell.called.size() == (comesOne ? 0 : 1));
     cell.relay.flush(cell.now);
-    CHECK(cell.sent.size() + cell.called.size() == 1); // once
+    CHECK(cell.sent.size() + cell.called.size() == 1); // exactly once
 }
 
-TEST_CASE("orders that wait for a carrier end with their term", "[relay]")
+TEST_CASE("orders that wait for a relay are discarded at the end of their term", "[relay]")
 {
     relay_fixture cell;
     cell.relay.startTerm(cell.now);
@@ -101,7 +101,7 @@
     CHECK(cell.called.empty());
 }
 
-TEST_CASE("a target stays with a carrier of its own failure domain", "[relay]")
+TEST_CASE("a target keeps one relay, in its own failure domain", "[relay]")
 {
     relay_fixture cell;
     for (const auto *name : {"g1", "g2", "g3"}) {
@@ -116,7 +116,8 @@
     }
 }
 
-TEST_CASE("a carrier with a narrow link gets orders only while there is no wide one", "[relay]")
+TEST_CASE("a relay with a narrow link gets orders only while no other relay has a wide one",
+          "[relay]")
 {
     relay_fixture cell;
     cell.relay.takeCarrier("entry", {"a", 1, 2}, cell.now);
@@ -131,7 +132,8 @@
     CHECK(cell.sent[2].first == "entry");
 }
 
-TEST_CASE("an order whose carrier is silent ends once, and not as the target's fault", "[relay]")
+TEST_CASE("an order that its relay does not answer ends once, and not as a failure of the target",
+          "[relay]")
 {
     relay_fixture cell;
     cell.relay.takeCarrier("g1", {"a", 1}, cell.now);
@@ -145,10 +147,10 @@
     cell.relay.takeAnswers("g1", late);
     CHECK(cell.answered.size() == 1);
     cell.send("t1");
-    CHECK(cell.called.size() == 1); // the silent one is not asked again before its next hello
+    CHECK(cell.called.size() == 1); // the silent relay is not used before its next hello
 }
 
-TEST_CASE("a carrier that is replaced or silent loses all its orders at once", "[relay]")
+TEST_CASE("all orders of a relay end at once when it is replaced or silent", "[relay]")
 {
     relay_fixture cell;
     auto look = relay_fixture::orderFor("t2");
@@ -169,7 +171,7 @@
     CHECK(cell.answered[0].first.kind == order_kind::Look);
 }
 
-TEST_CASE("one order without an answer ends the others of its carrier too", "[relay]")
+TEST_CASE("one unanswered order ends all orders of its relay", "[relay]")
 {
     relay_fixture cell;
     cell.relay.takeCarrier("g1", {"a", 1}, cell.now);
@@ -178,12 +180,13 @@
     look.timeout = {2'200};
     cell.relay.send(look, 350, "a", cell.now);
     cell.send("t1");
-    cell.now = cell.now + milliseconds {700}; // the start's time is over, not the look's
+    cell.now = cell.now + milliseconds {700}; // the start order has timed out, the poll has not
     cell.relay.takeTime(cell.now);
     CHECK(cell.answered.size() == 2);
 }
 
-TEST_CASE("a carrier that stops gets no more orders, and what it has is still answered", "[relay]")
+TEST_CASE("a stopping relay gets no new orders, and its answers to earlier ones still count",
+          "[relay]")
 {
     relay_fixture cell;
     cell.relay.takeCarrier("g1", {"a", 1}, cell.now);
@@ -199,7 +202,7 @@
     CHECK(cell.answered[0].first.target == "t1");
 }
 
-TEST_CASE("an answer to an earlier process of the same name fits no order", "[relay]")
+TEST_CASE("an answer to an earlier process of the same name matches no order", "[relay]")
 {
     relay_fixture before {1'000};
     before.relay.takeCarrier("g1", {"a", 1}, before.now);
@@ -213,7 +216,7 @@
     CHECK(after.answered.empty());
 }
 
-TEST_CASE("orders and answers come out of their messages as they went in", "[relay]")
+TEST_CASE("orders and answers are unchanged after conversion to messages and back", "[relay]")
 {
     const auto order = relay_fixture::orderFor("t1");
     const auto back = orderOf(carriedOrderOf(order));
--- a/modules/filbert_node/tests/work_controller_test.cpp
+++ b/modules/filbert_node/tests/work_controller_test.cpp
@@ -10,17 +10,17 @@
 
 constexpr const char *jobPath = "/quotes/5c0e7a21d94b36f8";
 
-/** One controller that is all of its cell, in virtual time. */
+/** The only controller of a cell, in virtual time. */
 struct controller_fixture
 {
-    time_point now = monotonicNow(); // orders go out by the real clock
+    time_point now = monotonicNow(); // starts at the real clock, which orders are sent by
     fake_file_system files;
     log_store store {files};
     work_metrics metrics;
     std::vector<target_order> orders;
     std::map<std::uint64_t, messages::work_answer> answers; // by exchange
     std::vector<std::pair<std::string, messages::admission_request>> admissions; // by process
-    std::vector<std::string> toldOfLeader; // processes that were told that this one leads
+    std::vector<std::string> toldOfLeader; // processes that got a welcome which names a leader
     std::unique_ptr<work_controller> controller;
     std::uint64_t lastExchange = 0;
 
@@ -111,7 +111,7 @@
 
 } // namespace
 
-TEST_CASE("before the first configuration nothing is taken", "[controller]")
+TEST_CASE("requests are rejected before the first configuration", "[controller]")
 {
     controller_fixture cell;
     REQUIRE(cell.controller->isLeading());
@@ -121,13 +121,14 @@
     CHECK(cell.ask(read).kind() == messages::ANSWER_NOT_NOW);
 }
 
-TEST_CASE("the first configuration waits until enough controllers hold it", "[controller]")
+TEST_CASE("the first configuration is rejected until enough controllers have joined",
+          "[controller]")
 {
     controller_fixture cell {1};
     CHECK(cell.configure(3).kind() == messages::ANSWER_NOT_NOW);
 }
 
-TEST_CASE("configurations: newest wins, others are acknowledged, wrong ones are not",
+TEST_CASE("the newest configuration wins, older ones are acknowledged and invalid ones rejected",
           "[controller]")
 {
     controller_fixture cell;
@@ -144,13 +145,13 @@
     CHECK(cell.ask(read).document() == "document 5");
 }
 
-TEST_CASE("a job's way through the interface", "[controller]")
+TEST_CASE("a job is submitted, queried and cancelled", "[controller]")
 {
     controller_fixture cell;
     cell.configure(1);
     CHECK(cell.job(messages::JOB_STATE).kind() == messages::ANSWER_NO_JOB);
     CHECK(cell.job(messages::JOB_SUBMIT).kind() == messages::ANSWER_OK);
-    CHECK(cell.job(messages::JOB_SUBMIT).kind() == messages::ANSWER_OK); // the same once more
+    CHECK(cell.job(messages::JOB_SUBMIT).kind() == messages::ANSWER_OK); // a repeated submission
     CHECK(cell.controller->work().jobs.size() == 1);
     CHECK(cell.job(messages::JOB_STATE).name() == "queued");
     CHECK(cell.job(messages::JOB_STATE, "/quotes/").number() == 1);
@@ -161,7 +162,7 @@
           == messages::ANSWER_NO_JOB);
 }
 
-TEST_CASE("wrong requests are told what is wrong", "[controller]")
+TEST_CASE("invalid requests are rejected with the matching kind of answer", "[controller]")
 {
     controller_fixture cell;
     cell.configure(1);
@@ -175,7 +176,8 @@
     CHECK(cell.controller->work().jobs.empty());
 }
 
-TEST_CASE("a job is placed on a target that reported, and ordered after its commit", "[controller]")
+TEST_CASE("a job is placed on a reporting target, and ordered to start after the commit",
+          "[controller]")
 {
     controller_fixture cell;
     cell.configure(1);
@@ -193,11 +195,12 @@
     });
     REQUIRE(start != cell.orders.end());
     CHECK(start->target == "t1");
-    CHECK(start->spec.empty()); // as submitted
+    CHECK(start->spec.empty()); // the job was submitted without one
     CHECK(cell.job(messages::JOB_STATE).name() == "active");
 }
 
-TEST_CASE("a new leader has work for processes that it heard as a follower", "[controller]")
+TEST_CASE("a new leader sends admission requests to processes that it heard from as a follower",
+          "[controller]")
 {
     controller_fixture cell {0, true};
     messages::work_request request;
@@ -223,7 +226,8 @@
     CHECK(cell.admissions[0].first == "gateway-1");
 }
 
-TEST_CASE("a new leader says so at once to all that said hello to it before", "[controller]")
+TEST_CASE("a new leader announces itself at once to processes that sent it a hello before",
+          "[controller]")
 {
     CHECK(controller_fixture {}.toldOfLeader.empty());
     const controller_fixture cell {0, true};
@@ -231,7 +235,7 @@
     CHECK(cell.toldOfLeader[0] == "gateway-1");
 }
 
-TEST_CASE("a controller that stops turns requests away", "[controller]")
+TEST_CASE("a stopping controller rejects requests", "[controller]")
 {
     controller_fixture cell;
     cell.configure(1);
@@ -239,7 +243,7 @@
     CHECK(cell.job(messages::JOB_SUBMIT).kind() == messages::ANSWER_NO_LEADER);
 }
 
-TEST_CASE("metrics name what was applied and how long it took", "[controller]")
+TEST_CASE("metrics count applied commands and record commit times", "[controller]")
 {
     controller_fixture cell;
     cell.configure(1);
--- a/modules/filbert_node/work_controller.cpp
+++ b/modules/filbert_node/work_controller.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr milliseconds peerSpan {3'000}; // ten hellos: who is silent for longer has gone
+constexpr milliseconds peerSpan {3'000}; // ten missed hellos: the process is considered gone
 
 std::string commandName(const messages::work_command &command)
 {
@@ -50,7 +50,7 @@
             },
             [this](const messages::log_entry &entry) { applyEntry(entry); },
             [this](const std::string &data) {
-                FILBERT_INVARIANT(!readWork(data, &state), "a snapshot can be read");
+                FILBERT_INVARIANT(!readWork(data, &state), "a snapshot can be parsed");
             },
             [this] { return writeWork(state); }},
            now}
@@ -98,7 +98,7 @@
 void work_controller::welcome(const std::string &peer, const messages::peer_hello &hello,
                               time_point now)
 {
-    // Followers keep these too: a new leader has work for them before their next hello.
+    // Followers record these too: a new leader sends admission requests before the next hellos.
     if (hello.asks_admission()) {
         policyCallers[peer] = {hello.process(), now};
     } else {
@@ -109,7 +109,8 @@
     } else if (dispatch) {
         dropCaller(*dispatch, peer);
     }
-    const bool isOwn = hello.name() == settings.name; // it leads: its time is for decisions
+    // A leader does not relay its own orders: its processor time is needed for scheduling.
+    const bool isOwn = hello.name() == settings.name;
     if (hello.carries_orders() && !isOwn) {
         relay.takeCarrier(peer, {hello.failure_domain(), hello.process(), hello.link_mbps()}, now);
     } else {
@@ -140,7 +141,9 @@
     hooks.sendToPeer(peer, envelope);
 }
 
-/** Tells whoever said hello lately: they would find out by their next one, and wait until then. */
+/** Sends a welcome to every process that has sent a hello recently. Otherwise it would hold its
+    requests until its next hello.
+*/
 void work_controller::announceLeadership(time_point now)
 {
     std::erase_if(peersHeardAt, [&](const auto &each) { return now - each.second >= peerSpan; });
@@ -201,7 +204,7 @@
         for (const auto &to : replies) {
             answerKind(to, messages::ANSWER_NO_LEADER);
         }
-        dispatch.reset(); // it has booked what was not proposed: start over
+        dispatch.reset(); // it holds reservations for starts that were not proposed: start over
         return;
     }
     inFlight[index] = {std::move(replies), now};
@@ -213,7 +216,8 @@
         return;
     }
     messages::work_batch batch;
-    FILBERT_INVARIANT(batch.ParseFromString(entry.payload()), "an entry can be read");
+    FILBERT_INVARIANT(batch.ParseFromString(entry.payload()),
+                      "a committed log entry can be parsed");
     const auto waiting = inFlight.extract(entry.index());
     if (!waiting.empty()) {
         metrics.observeCommit(flushNow - waiting.mapped().proposedAt);
@@ -338,7 +342,7 @@
         return;
     }
     if (log.change(step->add, step->which, now)) {
-        return; // another change is under way: this one is decided again
+        return; // another change is in progress; the next call decides again
     }
     candidates.erase(step->which.identity());
     log_line {"membership_change"}
@@ -397,7 +401,8 @@
         return;
     }
     if (!log.isServing(now)) {
-        // Without the lease another may lead by now: what was decided is dropped with its term.
+        // The lease has expired, so another controller may lead by now: the orders of this term
+        // are discarded.
         log_line {"orders_dropped", log_line::severity::Warning}
             .with("term", dispatch->term)
             .with("orders", dispatch->effects.orders.size());
@@ -422,7 +427,7 @@
 std::error_code work_controller::flush(time_point now, std::int64_t wallMs)
 {
     flushNow = now;
-    log.takeTime(now); // heartbeats leave on time, however long turns are
+    log.takeTime(now); // sends heartbeats on time even when a turn takes long
     reviewLeadership(now, wallMs);
     if (dispatch && log.isServing(now)) {
         stepDispatch(*dispatch, now, wallMs);
--- a/modules/filbert_node/work_controller.h
+++ b/modules/filbert_node/work_controller.h
@@ -13,31 +13,36 @@
 
 namespace filbert {
 
-/** Who and where a controller is. */
+/** Identity, address and settings of a controller. */
 struct work_controller_settings
 {
     std::string name;
-    std::string address; // tcp://IP:port, for messages
+    std::string address; // tcp://IP:port, for messages of other processes
     dispatch_settings dispatch;
     formation_settings formation;
     order_relay_settings relay;
-    milliseconds joinPeriod {200}; // between requests to join; five fit into the span they are good
+    // Between requests to join. A leader keeps one for five times as long.
+    milliseconds joinPeriod {200};
 };
 
-/** What a work_controller needs from the program around it. */
+/** The functions that a work_controller calls in its program. */
 struct work_controller_hooks
 {
+    /** Sends a message to another controller. */
     std::function<void(const messages::member &, const messages::work_envelope &)> sendToMember;
+    /** Sends a message to a process that has contacted this controller. */
     std::function<void(const std::string &peer, const messages::work_envelope &)> sendToPeer;
+    /** Calls a target from this process; the answer goes to handleOrderAnswer(). */
     std::function<void(const target_order &)> callTarget;
-    /** @return addresses of controllers, for requests to join */
+    /** @return addresses of controllers to which requests to join are sent */
     std::function<std::vector<std::string>()> knownAddresses;
 };
 
-/** One controller: replicates the state of staged jobs, and decides while it leads.
+/** One controller: replicates the state of staged jobs, and schedules them while it leads.
 
-    Feed it with messages, answers of targets and time, then call flush() once for what came in: it
-    decides, syncs once, sends and applies.
+    In each turn of the event loop, pass it the messages, the answers of targets and the time, then
+    call flush() once: it schedules, syncs the log once, sends messages, applies committed commands
+    and sends orders.
 */
 class work_controller
 {
@@ -47,25 +52,33 @@
                     std::uint64_t seed, log_store &store, work_metrics &metrics,
                     work_controller_hooks hooks, time_point now);
 
-    /** @param peer name of the process that sent it */
+    /** Handles a message.
+        @param peer    name of the process that sent it
+        @param wallMs  wall clock
+    */
     void takeEnvelope(const std::string &peer, const messages::work_envelope &envelope,
                       time_point now, std::int64_t wallMs);
 
+    /** Handles a target's answer to an order, or its failure. */
     void takeOrderAnswer(const target_order &order, const order_answer &answer, time_point now);
 
-    /** Lets time pass; call it every 10 to 20 ms. */
+    /** Does what is due by time alone; call it every 10 to 20 ms. */
     void takeTime(time_point now);
 
-    /** @return StorageFailed if the process must stop */
+    /** Does what follows from everything since the last flush().
+        @return StorageFailed if the process must stop, else no error
+    */
     std::error_code flush(time_point now, std::int64_t wallMs);
 
-    /** Hands leadership over; no new requests are taken. */
+    /** Begins to hand leadership over to another controller; new requests are rejected. */
     void prepareToStop(time_point now);
 
     bool isLeading() const { return dispatch.has_value(); }
+
+    /** @return whether the process can stop: it does not lead any more */
     bool isReadyToStop() const { return log.view().role != replica_role::Leader; }
 
-    /** Bounds that the settings may change while it runs. */
+    /** Changes the scheduling settings of a running controller. */
     void setDispatch(const dispatch_settings &changed);
 
     const work_state &work() const { return state; }
@@ -75,7 +88,7 @@
     struct reply_to
     {
         std::string peer;
-        std::uint64_t exchange = 0; // 0 = nobody waits
+        std::uint64_t exchange = 0; // id of the request; 0 = no answer is expected
     };
 
     void takeRequest(const reply_to &from, const messages::work_request &request, time_point now,
@@ -108,7 +121,7 @@
         reply_to replyTo;
     };
 
-    /** A process that can call the policy service, for the term that may begin here. */
+    /** A process that can call the policy service. Followers keep these for their next term. */
     struct policy_caller
     {
         std::uint64_t process = 0;
@@ -128,13 +141,13 @@
     log_member log;
     std::optional<dispatch_state> dispatch; // while leading
     std::vector<pending_command> pending;
-    std::map<std::uint64_t, open_batch> inFlight; // by index of the log
-    std::map<std::string, join_candidate> candidates; // by identity
+    std::map<std::uint64_t, open_batch> inFlight; // proposed, not applied yet; by log index
+    std::map<std::string, join_candidate> candidates; // for membership; by identity
     std::map<std::string, policy_caller> policyCallers; // by name
-    std::map<std::string, time_point> peersHeardAt; // of processes that say hello
+    std::map<std::string, time_point> peersHeardAt; // last hello, by name of the process
     time_point leadingSince;
     time_point joinAt;
-    time_point flushNow; // of the flush under way, for hooks that it calls
+    time_point flushNow; // time of the current flush(), for the hooks of `log`
     order_relay relay;
     bool isStopping = false;
 };
--- a/modules/filbert_node/work_metrics.h
+++ b/modules/filbert_node/work_metrics.h
@@ -12,7 +12,7 @@
 
 namespace filbert {
 
-/** What a controller of staged jobs counts. */
+/** Prometheus metrics of a controller of staged jobs. */
 class work_metrics
 {
 public:
@@ -22,15 +22,18 @@
     void countAnswer(const std::string &kind) { answers.Add({{"kind", kind}}).Increment(); }
     void countElection() { elections.Increment(); }
 
-    /** A batch of commands was applied. @param took since it was proposed */
+    /** Records that a batch of commands was applied. @param took time since it was proposed */
     void observeCommit(milliseconds took);
 
-    /** A target's answer came, or none. @param took since the order left */
+    /** Records the end of an order, with or without a target's answer.
+        @param took  time since the order was sent
+    */
     void observeOrder(const std::string &kind, const std::string &result, milliseconds took);
 
+    /** Sets the gauges. @param applied last log index that was applied */
     void setState(bool isLeading, std::uint64_t applied, int members, std::size_t jobs);
 
-    /** @return everything in Prometheus' text format */
+    /** @return all metrics in Prometheus' text format */
     std::string text() const;
 
 private:
@@ -44,18 +47,21 @@
     prometheus::Family<prometheus::Gauge> &state;
 };
 
-/** What an entry host of staged jobs counts. */
+/** Prometheus metrics of an entry host of staged jobs. */
 class entry_metrics
 {
 public:
     entry_metrics();
 
-    /** @param status of HTTP @param took from the whole request to its answer */
+    /** Records an answer to a client.
+        @param status  HTTP status
+        @param took    time from the complete request to its answer
+    */
     void observeAnswer(int status, milliseconds took);
 
     void setOpenRequests(std::size_t count) { openRequests.Set(static_cast<double>(count)); }
 
-    /** @return everything in Prometheus' text format */
+    /** @return all metrics in Prometheus' text format */
     std::string text() const;
 
 private:
--- a/modules/filbert_node/work_requests.cpp
+++ b/modules/filbert_node/work_requests.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::size_t idLength = 16; // hexadecimal digits
-constexpr milliseconds retryWhileForming {500}; // a formation takes about a second
+constexpr std::size_t idLength = 16; // hexadecimal digits of a job id
+constexpr milliseconds retryWhileForming {500}; // forming a cell takes about a second
 
 bool isJobId(std::string_view text)
 {
@@ -59,7 +59,8 @@
         break;
     }
     case body::BODY_NOT_SET:
-        answerKind(from, messages::ANSWER_MALFORMED, "a request that controllers do not take");
+        answerKind(from, messages::ANSWER_MALFORMED,
+                   "controllers do not handle requests of this kind");
     }
 }
 
@@ -68,7 +69,8 @@
 {
     const auto &configuration = state.configuration;
     if (configuration.version() == 0) {
-        answerKind(from, messages::ANSWER_NOT_NOW, "no configuration yet", retryWhileForming.count);
+        answerKind(from, messages::ANSWER_NOT_NOW, "the cell has no configuration yet",
+                   retryWhileForming.count);
         return;
     }
     const auto *queue = queueFor(configuration, call.host(), call.path());
@@ -121,7 +123,7 @@
                                      const std::string &id, std::int64_t wallMs)
 {
     if (state.jobs.contains(id)) {
-        answerKind(from, messages::ANSWER_OK); // it was accepted before
+        answerKind(from, messages::ANSWER_OK); // a repeated submission of an accepted job
         return;
     }
     auto problem = call.problem();
@@ -159,7 +161,7 @@
         return;
     }
     if (document.version() <= state.configuration.version()) {
-        answerKind(from, messages::ANSWER_OK); // acknowledged, without effect
+        answerKind(from, messages::ANSWER_OK); // not newer: acknowledged without effect
         return;
     }
     if (state.configuration.version() == 0 && countVoters() < wantedVoters(settings.formation)) {
