--- a/modules/filbert_controller/commit_effects.cpp
+++ b/modules/filbert_controller/commit_effects.cpp
@@ -50,7 +50,7 @@
     const bool isNewStart =
         live.clockMs == 0 || live.isRemovalProposed || live.epoch != registration.epoch();
     if (isNewStart) {
-        // Nothing starts there before its first heartbeat has told its clock and what it runs.
+        // Nothing starts there before its first heartbeat, which reports its clock and its tasks.
         forgetUnreachable(state.scheduler, registration.name());
         live = {};
         live.epoch = registration.epoch();
@@ -116,7 +116,8 @@
         state.dispatchOfPlacement.erase(found);
         const bool mayWaitOn = outcome.error == error_kind::NoCapacity && now < open.giveUpAt;
         if (mayWaitOn) {
-            // The target changed between the decision and its commit; another one may have room.
+            // The target changed between the decision and its commit. Another target may have free
+            // capacity.
             auto again = open.request;
             again.set_wait_ms((open.giveUpAt - now).count);
             takeDispatch(state, open.replyTo, again, now);
@@ -143,7 +144,9 @@
     }
 }
 
-/** Tells whichever gateway waits for a synchronous request that no answer will come. */
+/** Notifies all gateways, any of which may wait for this synchronous request, that no answer will
+    come.
+*/
 void noticeGateways(controller_state &state, const ended_placement &ended)
 {
     for (const auto &[name, gateway] : state.gateways) {
@@ -284,7 +287,8 @@
         return;
     }
     messages::command_batch batch;
-    FILBERT_INVARIANT(batch.ParseFromString(entry.payload()), "a committed entry can be read");
+    FILBERT_INVARIANT(batch.ParseFromString(entry.payload()),
+                      "a committed log entry can be parsed");
     std::vector<reply_address> replies;
     if (const auto found = state.inFlight.find(entry.index()); found != state.inFlight.end()) {
         replies = std::move(found->second);
--- a/modules/filbert_controller/commit_effects.h
+++ b/modules/filbert_controller/commit_effects.h
@@ -4,7 +4,7 @@
 
 namespace filbert {
 
-/** Applies one committed log entry, and as the leader answers and orders what follows from it. */
+/** Applies a committed log entry; a leader also sends the answers and orders that follow. */
 void applyEntry(controller_state &state, const messages::log_entry &entry, time_point now);
 
 } // namespace filbert
--- a/modules/filbert_controller/controller.cpp
+++ b/modules/filbert_controller/controller.cpp
@@ -31,7 +31,8 @@
     state.settings = settings;
     state.log = makeReplicatedLog(stored, replication, seed, now);
     if (stored.snapshot.index() > 0) {
-        FILBERT_INVARIANT(!restoreCell(stored.snapshotData, &state.cell), "a snapshot can be read");
+        FILBERT_INVARIANT(!restoreCell(stored.snapshotData, &state.cell),
+                          "a stored snapshot can be parsed");
     }
 }
 
@@ -95,7 +96,8 @@
         takeMemberChange(state, from, envelope.member(), now);
         break;
     default:
-        refuse(state, from, error_kind::Malformed, "a message that controllers do not take");
+        refuse(state, from, error_kind::Malformed,
+               "controllers do not handle messages of this kind");
     }
 }
 
@@ -119,7 +121,8 @@
     if (state.isLeading && state.log.role != replica_role::Leader) {
         stopLeading(state);
     }
-    // Everything proposed before must be applied, or the view would lack what is under way.
+    // Every entry of the log must be applied first, or the leader's state would lack placements
+    // that are proposed but not committed yet.
     const bool isSettled = isReadyLeader(state.log) && state.log.applied == lastIndex(state.log)
         && state.effects.committed.empty() && !state.effects.mustInstall;
     if (!state.isLeading && isSettled && !state.isStopping) {
@@ -145,7 +148,8 @@
             replies.push_back(state.pending[taken].replyTo);
         }
         if (propose(state.log, {batch.SerializeAsString()}, now, &state.effects)) {
-            // Neither queued nor sent. The scheduler holds room for it, so start over.
+            // The batch was neither queued nor sent, but the scheduler holds reservations for it:
+            // start over.
             for (const auto &to : replies) {
                 turnAway(state, to);
             }
@@ -167,7 +171,8 @@
 void controller::install()
 {
     state.effects.mustInstall = false;
-    FILBERT_INVARIANT(!restoreCell(*state.log.snapshotData, &state.cell), "a snapshot can be read");
+    FILBERT_INVARIANT(!restoreCell(*state.log.snapshotData, &state.cell),
+                      "a received snapshot can be parsed");
     log_line {"snapshot_installed"}.with("index", state.log.snapshot.index());
 }
 
@@ -186,7 +191,8 @@
     snapshot->index = state.log.applied;
     const auto records =
         state.cell.placements.size() + state.cell.jobs.size() + state.cell.idempotency.size();
-    snapshot->data.reserve(records * expectedRecordBytes); // growing would copy it all in one turn
+    // Growth would copy all of it in one turn.
+    snapshot->data.reserve(records * expectedRecordBytes);
     if (const auto error = store.startSnapshot(snapshotHeaderAt(state.log, snapshot->index))) {
         return error;
     }
@@ -241,11 +247,11 @@
            || !effects.send.empty() || !effects.committed.empty()) {
         sendAll(&effects.early);
         if (effects.mustInstall) {
-            snapshot.reset(); // the state that it was read from goes
+            snapshot.reset(); // the state that it is read from is replaced
         }
         const auto error = persistEffects(state.log, store, now, &effects);
         if (error == error_kind::DiskFull) {
-            // Nothing was written, so nothing may be said; the entries are tried again later.
+            // Nothing was written, so nothing may be sent. The entries are written again later.
             if (!std::exchange(state.isDiskFull, true)) {
                 log_line {"disk_full", log_line::severity::Error}.with("role",
                                                                        roleName(state.log.role));
--- a/modules/filbert_controller/controller.h
+++ b/modules/filbert_controller/controller.h
@@ -6,7 +6,7 @@
 
 namespace filbert {
 
-/** Where a controller's messages go; a message may be lost, never changed. */
+/** Sends a controller's messages. Messages may be lost, but not altered. */
 class controller_outbox
 {
 public:
@@ -16,51 +16,53 @@
     virtual void sendToGateway(const std::string &gateway, const messages::envelope &envelope) = 0;
 };
 
-/** A snapshot of the state that is being written, a part in each turn of the loop. */
+/** A snapshot of the state that is being written, one chunk in each turn of the event loop. */
 struct open_snapshot
 {
     std::uint64_t index = 0;
     std::string data;
 };
 
-/** One controller with its disk: takes messages and time, and carries out what follows in the one
-    order that is safe. It reads no clock; the program around it does.
+/** One controller with its log store. It handles messages, and writes, sends and applies what
+    follows in the only safe order. It reads no clock: times are passed in.
 
-    Call takeMessage() and takeTime() as things happen, then flush() once for the batch: it syncs
-    once for everything that came in.
+    In each turn of the event loop, call handleMessage() for each message and tick(), then flush()
+    once: it syncs once for everything that came in.
 */
 class controller
 {
 public:
-    /** @param settings  times and bounds
-        @param stored    what the store held at start
-        @param seed      for elections
+    /** @param settings  timing and limits
+        @param stored    contents of the store at start
+        @param seed      for randomised election timeouts
         @param store     open; outlives the controller
         @param outbox    outlives the controller
-        @param now       monotonic
+        @param now       monotonic clock
     */
     controller(const controller_settings &settings, const replication_settings &replication,
                const stored_state &stored, std::uint64_t seed, log_store &store,
                controller_outbox &outbox, time_point now);
 
-    /** @param peer  name of the gateway or identity of the member that sent it */
+    /** Handles a message.
+        @param peer  name of the gateway or identity of the member that sent it
+    */
     void takeMessage(const std::string &peer, const messages::envelope &envelope, time_point now);
 
-    /** Lets time pass; call it every 10 to 20 ms. */
+    /** Does what is due by time alone; call it every 10 to 20 ms. */
     void takeTime(time_point now);
 
-    /** Decides, syncs, sends and applies.
+    /** Schedules, syncs, sends and applies.
 
-        @param now     monotonic
+        @param now     monotonic clock
         @param wallMs  wall clock, for the audit trail
         @return StorageFailed if the process must stop, else no error
     */
     std::error_code flush(time_point now, std::int64_t wallMs);
 
-    /** Stops to take work; once all that is under way is answered, leadership is handed over. */
+    /** Rejects new work. Leadership is handed over once all pending requests are answered. */
     void prepareToStop() { state.isStopping = true; }
 
-    /** @return whether it may stop without anybody noticing */
+    /** @return whether the process can stop without interrupting service: it does not lead */
     bool isReadyToStop() const { return state.log.role != replica_role::Leader; }
 
     const controller_state &view() const { return state; }
--- a/modules/filbert_controller/controller_metrics.h
+++ b/modules/filbert_controller/controller_metrics.h
@@ -6,7 +6,7 @@
 
 namespace filbert {
 
-/** @param state of a controller @return its gauges in Prometheus' text format */
+/** @return the metrics of a controller in Prometheus' text format */
 std::string controllerMetricsText(const controller_state &state);
 
 } // namespace filbert
--- a/modules/filbert_controller/controller_state.h
+++ b/modules/filbert_controller/controller_state.h
@@ -13,29 +13,32 @@
 
 namespace filbert {
 
-/** Times and bounds of a controller. */
+/** Timing and limits of a controller. */
 struct controller_settings
 {
     policy_settings policy;
     milliseconds targetLease {4'000};
-    milliseconds requestStartSpan {1'500}; // a synchronous request starts by then or not at all
-    milliseconds throttleSpan {3'000}; // a throttled task is stopped if that long did not help
+    // For the start of a synchronous request; later, its target rejects the start.
+    milliseconds requestStartSpan {1'500};
+    // A task is stopped if throttling it for this long did not help.
+    milliseconds throttleSpan {3'000};
     milliseconds configurationLease {3'000};
     std::uint64_t snapshotEntries = 50'000;
     std::uint64_t snapshotBytes = 64 << 20;
-    std::size_t snapshotPartRecords = 1'000; // read and synced in one turn of the loop
-    milliseconds snapshotPause {10'000}; // after one that the disk had no room for
+    // In one chunk of a snapshot, which is read and synced in one turn of the event loop.
+    std::size_t snapshotPartRecords = 1'000;
+    milliseconds snapshotPause {10'000}; // after a snapshot failed because the disk was full
     std::size_t pendingCommands = 50'000;
 };
 
-/** Whom an answer goes to; exchange 0 = nobody waits. */
+/** Where an answer goes. */
 struct reply_address
 {
     std::string gateway;
-    std::uint64_t exchange = 0;
+    std::uint64_t exchange = 0; // id of the request; 0 = no answer is expected
 };
 
-/** A synchronous request that waits for room or for its commit. */
+/** A synchronous request that waits for free capacity or for the commit of its placement. */
 struct open_dispatch
 {
     reply_address replyTo;
@@ -43,15 +46,15 @@
     time_point giveUpAt;
 };
 
-/** What the leader knows of a target beyond the replicated state. */
+/** What the leader knows of a target in addition to the replicated state. */
 struct target_liveness
 {
-    std::string gateway; // that its last heartbeat came through
-    std::int64_t clockMs = 0; // the target's own, in its last heartbeat
-    time_point heardAt; // when that came
+    std::string gateway; // through which the last heartbeat came
+    std::int64_t clockMs = 0; // the target's clock in its last heartbeat
+    time_point heardAt; // time of the last heartbeat
     std::int64_t epoch = 0;
-    time_point leaseEnds; // by then it has surely stopped everything
-    bool isHeard = false; // in this leader's time
+    time_point leaseEnds; // by then the target has certainly stopped all tasks
+    bool isHeard = false; // whether a heartbeat came in this leader's term
     bool isLeaving = false;
     bool isRemovalProposed = false;
 };
@@ -59,45 +62,47 @@
 /** What the leader knows of a gateway. */
 struct gateway_view
 {
-    std::int64_t version = 0;
-    time_point leaseEnds;
+    std::int64_t version = 0; // of its configuration
+    time_point leaseEnds; // of its configuration lease
 };
 
-/** One message to a gateway. */
+/** A message to a gateway. */
 struct gateway_message
 {
     std::string gateway;
     messages::envelope envelope;
 };
 
-/** A command that waits for the next batch, with whom to answer. */
+/** A command for the next batch, and where the answer to its request goes. */
 struct pending_command
 {
     messages::command command;
     reply_address replyTo;
 };
 
-/** One controller: the replicated log, the state that it carries, and what only a leader keeps. */
+/** The state of a controller: the log, the replicated state, and the leader's own state. */
 struct controller_state
 {
     controller_settings settings;
     replicated_log_state log;
-    replication_effects effects; // not carried out yet
+    replication_effects effects; // to be carried out by the next flush
     cell_state cell;
 
-    // Of a leader only; dropped when leadership ends.
+    // Used by a leader only; discarded when its leadership ends.
     bool isLeading = false;
     time_point leadingSince;
     scheduler_state scheduler;
     std::vector<pending_command> pending;
-    std::map<std::uint64_t, std::vector<reply_address>> inFlight; // by log index
-    std::unordered_map<std::uint64_t, open_dispatch> dispatches; // by ticket
-    std::unordered_map<std::uint64_t, std::uint64_t> dispatchOfPlacement;
+    // Where the answers to proposed commands go that are not applied yet; by log index.
+    std::map<std::uint64_t, std::vector<reply_address>> inFlight;
+    std::unordered_map<std::uint64_t, open_dispatch> dispatches; // by work id
+    std::unordered_map<std::uint64_t, std::uint64_t> dispatchOfPlacement; // work id by placement
     std::map<std::string, target_liveness> liveness;
     std::map<std::string, gateway_view> gateways;
-    std::unordered_set<std::uint64_t> ending; // placements whose end is proposed
-    std::unordered_map<std::uint64_t, time_point> throttled; // placements, since when
-    std::unordered_set<std::uint64_t> stopping; // ordered to stop; said again by heartbeats
+    std::unordered_set<std::uint64_t> ending; // placements whose end has been proposed
+    std::unordered_map<std::uint64_t, time_point> throttled; // since when, by placement
+    // Placements that were ordered to stop; answers to heartbeats repeat the order.
+    std::unordered_set<std::uint64_t> stopping;
     std::uint64_t nextTicket = 0;
     bool isDiskFull = false;
     bool isStopping = false;
@@ -105,21 +110,25 @@
     std::vector<gateway_message> outbox;
 };
 
-/** Queues an answer. */
+/** Queues an answer to a request. */
 void reply(controller_state &state, const reply_address &to, messages::envelope &&envelope);
 
-/** Queues a refusal. @param kind why @param detail for a person */
+/** Queues an error as the answer to a request.
+    @param kind        of the error
+    @param detail      message for a person; empty = the general one of the kind
+    @param retryAfter  when the request may be sent again; 0 = not stated
+*/
 void refuse(controller_state &state, const reply_address &to, error_kind kind,
             const std::string &detail, milliseconds retryAfter = {});
 
-/** Sends a request that was not taken to the leader, as far as one is known. */
+/** Answers that the request was not handled, and names the leader if it is known. */
 void turnAway(controller_state &state, const reply_address &to);
 
-/** Puts a command into the next batch. */
+/** Adds a command to the next batch. */
 void proposeCommand(controller_state &state, messages::command &&command,
                     const reply_address &replyTo = {});
 
-/** Proposes the end of a placement once. */
+/** Proposes the end of a placement, unless its end has been proposed already. */
 void proposeEnd(controller_state &state, messages::placement_end &&end,
                 const reply_address &replyTo = {});
 
--- a/modules/filbert_controller/leadership.cpp
+++ b/modules/filbert_controller/leadership.cpp
@@ -22,14 +22,14 @@
     }
 }
 
-/** Whether the tasks of a job run all or none for as long as it lasts: an idempotent gang. */
+/** @return whether the tasks of a job run all or none for its whole time: an idempotent gang */
 bool startsTogether(const controller_state &state, const messages::job_submission &submission)
 {
     const auto *queue = state.cell.configuration.queue(submission.queue());
     return submission.idempotent() && queue != nullptr && queue->policy() == messages::GANG;
 }
 
-/** @return how many tasks have not ended */
+/** @return the number of tasks that have not ended */
 std::int32_t countOpen(const task_counts &counts)
 {
     return static_cast<std::int32_t>(counts.byState[static_cast<int>(task_state::Waiting)]
@@ -40,7 +40,7 @@
 {
     for (const auto &[name, target] : state.cell.targets) {
         setTarget(state.scheduler, viewOf(target), false);
-        // The leader before may have renewed a lease until the end of its own.
+        // The previous leader may have renewed this lease until its own expired.
         auto &live = state.liveness[name];
         live.leaseEnds = now + clockRateMargin(state.settings.targetLease);
     }
@@ -74,7 +74,7 @@
             ids.push_back(id);
         }
     }
-    std::sort(ids.begin(), ids.end()); // in the order of submission
+    std::sort(ids.begin(), ids.end()); // ids follow the order of submission
     for (const auto id : ids) {
         const auto &job = state.cell.jobs.at(id);
         for (std::size_t i = 0; i < job.tasks.size(); ++i) {
@@ -123,7 +123,7 @@
 void regroupGang(controller_state &state, const job_record &job)
 {
     if (!startsTogether(state, job.submission)) {
-        return; // most ends are of other jobs, and each end comes here
+        return; // called for every end of a task, and most belong to other jobs
     }
     const auto counts = countTasks(job);
     setTogether(state.scheduler, job.submission.id(), countOpen(counts));
@@ -159,7 +159,7 @@
     state.leadingSince = now;
     state.scheduler = {};
     state.scheduler.settings = state.settings.policy;
-    // Unique among all leaders, since a term has one leader.
+    // Placement ids are unique among all leaders, since a term has only one.
     state.scheduler.nextPlacement = (state.log.term << placementBitsBelowTerm) + 1;
     state.liveness.clear();
     state.gateways.clear();
@@ -184,8 +184,9 @@
 
 void stopLeading(controller_state &state)
 {
-    // A dispatch that was not answered was never sent to its target by the gateway, so that it may
-    // go to the next leader. What may have been placed is settled by the target's heartbeats.
+    // A gateway sends a request to its target only once the dispatch is answered, so that those
+    // without an answer may go to the next leader. If their placements get committed, the targets'
+    // heartbeats end them.
     for (const auto &[ticket, open] : state.dispatches) {
         turnAway(state, open.replyTo);
     }
--- a/modules/filbert_controller/leadership.h
+++ b/modules/filbert_controller/leadership.h
@@ -4,23 +4,24 @@
 
 namespace filbert {
 
-/** Builds the leader's view from the replicated state, before anything is placed. */
+/** Builds the leader's own state from the replicated state. Call it before placing any task. */
 void startLeading(controller_state &state, time_point now);
 
-/** Drops the leader's view; whoever waits is told that nothing was run. */
+/** Discards the leader's own state. Waiting requests are redirected: they have not been run. */
 void stopLeading(controller_state &state);
 
-/** Carries the configured teams and services into the scheduler. */
+/** Copies the configured teams and services to the scheduler. */
 void takeConfiguration(controller_state &state);
 
-/** @return the waiting work of a job, without tasks */
+/** @return a work item for a job, without tasks */
 work_item workOf(const controller_state &state, const job_record &job);
 
-/** Sees to it that the tasks of an idempotent gang run all or none: where one waits again, the
-   others are stopped, and all start together. Call it after any change of the job. */
+/** Ensures that the tasks of an idempotent gang run all or none: if one of them waits again, the
+    others are stopped, and then all start together. Call it after any change to the job.
+*/
 void regroupGang(controller_state &state, const job_record &job);
 
-/** @return a target as the scheduler sees it */
+/** @return what the scheduler needs to know of a target */
 target_view viewOf(const target_record &target);
 
 } // namespace filbert
--- a/modules/filbert_controller/operations.cpp
+++ b/modules/filbert_controller/operations.cpp
@@ -14,7 +14,9 @@
     return asked <= 0 ? defaultListed : std::min(asked, mostListed);
 }
 
-/** The difference from a version that is still remembered, the newest value of each part only. */
+/** Adds the items that changed since a version, each with its newest value only.
+    @return false if the deltas since that version are not kept any more
+*/
 bool addDelta(const cell_state &cell, std::int64_t from, messages::configuration_grant *grant)
 {
     const auto current = cell.configuration.version();
@@ -131,7 +133,7 @@
 {
     const auto lease = clockRateMargin(state.settings.configurationLease);
     if (state.cell.configuration.version() < version || now - state.leadingSince < lease) {
-        return false; // an earlier leader may have granted leases that this one does not know
+        return false; // leases that an earlier leader granted may still hold
     }
     return std::all_of(state.gateways.begin(), state.gateways.end(), [&](const auto &each) {
         return each.second.version >= version || each.second.leaseEnds <= now;
@@ -296,7 +298,7 @@
     const bool isAddition = change.action() == "add";
     const auto &member = change.member();
     if (isAddition && (member.identity().empty() || member.address().empty())) {
-        refuse(state, from, error_kind::Malformed, "identity and address are needed");
+        refuse(state, from, error_kind::Malformed, "a member needs an identity and an address");
         return;
     }
     const auto error = changeMembership(state.log, isAddition, member, now, &state.effects);
--- a/modules/filbert_controller/target_leases.cpp
+++ b/modules/filbert_controller/target_leases.cpp
@@ -21,15 +21,17 @@
 messages::task_result resultOf(const messages::finished_task &task,
                                const placement_record &placement)
 {
-    // Of a keyed request the answer went with its gateway: it ran, but what it said is lost.
+    // A request with an idempotency key has run, but its answer was lost with its gateway.
     if (task.stopped() || !placement.idempotencyKey.empty()) {
         return messages::UNKNOWN;
     }
     return task.succeeded() ? messages::SUCCEEDED : messages::FAILED;
 }
 
-/** Whether the gateway of a synchronous request that has run had time enough to bring its answer.
-    One with a key gets longer: without the answer, all that can be kept is that it ran. */
+/** @return whether the gateway of a synchronous request that has run had enough time to deliver its
+    answer. A request with an idempotency key gets longer, since without the answer only the fact
+    that it ran can be stored.
+*/
 bool isAnswerOverdue(const controller_state &state, const placement_record &placement,
                      const messages::target_heartbeat &heartbeat)
 {
@@ -37,7 +39,9 @@
     return placement.startBy + span < heartbeat.clock_ms();
 }
 
-/** Ends what the target does not run any more, with as much as is certain about it. */
+/** Proposes the end of placements that the target does not run any more, each with the result that
+    is certain.
+*/
 void settlePlacements(controller_state &state, const target_record &target,
                       const messages::target_heartbeat &heartbeat)
 {
@@ -56,7 +60,7 @@
         end.set_result(resultOf(task, found->second));
         end.set_reason(task.detail());
         if (found->second.jobId != 0 || isAnswerOverdue(state, found->second, heartbeat)) {
-            proposeEnd(state, std::move(end)); // else its gateway has time to bring the answer
+            proposeEnd(state, std::move(end)); // otherwise its gateway may still deliver the answer
         }
     }
     for (const auto id : target.placements) {
@@ -68,22 +72,24 @@
         }
         messages::placement_end end;
         end.set_placement_id(id);
-        // A target reports what ran until that is acknowledged; so this start never came.
+        // A target reports each task that it ran until that is acknowledged, so this one never
+        // started.
         end.set_result(isOfEarlierStart ? messages::UNKNOWN : messages::NOT_RUN);
         end.set_reason(isOfEarlierStart ? "the target restarted" : "the start came too late");
         proposeEnd(state, std::move(end));
     }
 }
 
-/** Whether no work is placed on a target, decided for it, or on its way to it. */
+/** @return whether a target has no placements, neither committed ones nor scheduled ones */
 bool hasNoWork(const controller_state &state, const target_record &target)
 {
     const auto number = state.scheduler.index.byName.at(target.registration.name());
     return target.placements.empty() && state.scheduler.runningOnTarget[number].empty();
 }
 
-/** Slows batch work down where what runs uses more than the target has, and stops it where that
-    does not help: memory cannot be slowed down, and cores only for a while.
+/** Throttles or stops idempotent batch tasks of a target whose tasks use more than its capacity.
+    Tasks are stopped if memory is short, since throttling frees none, or if processor time is still
+    short after the throttle timeout.
 */
 void throttleOvercommitted(controller_state &state, const target_record &target,
                            const messages::target_heartbeat &heartbeat, time_point now,
@@ -123,7 +129,7 @@
 {
     if (!isSensible(registration)) {
         refuse(state, from, error_kind::Malformed,
-               "name, address (IP:port), epoch, services and a capacity with slots are needed");
+               "a target needs a name, an address (IP:port), an epoch, services and slots");
         return;
     }
     messages::command command;
@@ -146,13 +152,14 @@
     const auto &target = found->second;
     auto &live = state.liveness[heartbeat.name()];
     if (live.isRemovalProposed) {
-        // Its tasks are being given up; a renewal now would let them go on beside their successors.
+        // Its tasks are being replaced: with a renewed lease they would run beside their
+        // replacements.
         answer->set_announce_again(true);
         reply(state, from, std::move(envelope));
         return;
     }
     if (heartbeat.clock_ms() < live.clockMs) {
-        refuse(state, from, error_kind::Malformed, "the target's clock must not go back");
+        refuse(state, from, error_kind::Malformed, "the clock of a target must not go backwards");
         return;
     }
     const auto lease = state.settings.targetLease;
--- a/modules/filbert_controller/target_leases.h
+++ b/modules/filbert_controller/target_leases.h
@@ -4,15 +4,15 @@
 
 namespace filbert {
 
-/** A target announces itself or changes what it announced. */
+/** Handles the announcement of a target, new or changed. */
 void takeAnnouncement(controller_state &state, const reply_address &from,
                       const messages::target_registration &registration);
 
-/** A target's heartbeat: renews its lease and settles what runs there. */
+/** Handles a target's heartbeat: renews its lease and reconciles its placements with its tasks. */
 void takeHeartbeat(controller_state &state, const reply_address &from,
                    const messages::target_heartbeat &heartbeat, time_point now);
 
-/** Gives up targets whose leases have surely ended. */
+/** Proposes to remove targets whose leases have certainly expired. */
 void expireTargets(controller_state &state, time_point now);
 
 } // namespace filbert
--- a/modules/filbert_controller/tests/dispatch_test.cpp
+++ b/modules/filbert_controller/tests/dispatch_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** One controller that is its whole cell, with what it sends to gateways. */
+/** The only controller of a cell, with the messages that it sends to gateways. */
 class lone_controller : public controller_outbox
 {
 public:
@@ -74,7 +74,7 @@
         take(envelope);
     }
 
-    /** A heartbeat of t1 with tasks that run. */
+    /** Sends a heartbeat of t1 with running tasks. @param used by each of them */
     void beatRunning(std::int64_t clockMs, const std::vector<std::uint64_t> &running,
                      const resource_amounts &used)
     {
@@ -91,7 +91,7 @@
         pass(1);
     }
 
-    /** Submits a job whose tasks need a core each. @return the placements that were started */
+    /** Submits a job whose tasks need one core each. @return the placements that were started */
     std::vector<std::uint64_t> startJob(const std::string &queue, int tasks)
     {
         sent.clear();
@@ -104,12 +104,12 @@
         submit->mutable_task()->set_milli_cores(1'000);
         submit->set_idempotent(true);
         take(envelope);
-        pass(1); // it is accepted, then decided, then started
+        pass(1); // accepts the job; then it is scheduled and started
         pass(600);
         return started();
     }
 
-    /** @return placements of the start orders among what was sent */
+    /** @return the placements of the start orders that were sent */
     std::vector<std::uint64_t> started() const
     {
         std::vector<std::uint64_t> placements;
@@ -155,7 +155,7 @@
         pass(1);
     }
 
-    /** Configures the cell and makes t1 ready for work. */
+    /** Configures the cell and makes t1 available. */
     void makeReady()
     {
         configure();
@@ -187,12 +187,12 @@
 
 } // namespace
 
-TEST_CASE("a request whose target restarts under it waits on instead of being refused")
+TEST_CASE("a request whose target restarts before its placement is committed keeps waiting")
 {
     lone_controller cell;
     cell.makeReady();
     cell.sent.clear();
-    cell.announce(2); // in the same batch, so that the decision is for the earlier start
+    cell.announce(2); // in the same batch, so that the scheduler decides for epoch 1
     cell.dispatch();
     const auto exchange = cell.lastExchange;
     cell.pass(1);
@@ -207,7 +207,7 @@
     CHECK(answer.dispatched().target_epoch() == 2);
 }
 
-TEST_CASE("a full disk refuses work as not run, and takes it again when there is room")
+TEST_CASE("work is refused while the disk is full, and accepted again once it has space")
 {
     lone_controller cell;
     cell.makeReady();
@@ -215,7 +215,7 @@
     cell.sent.clear();
     cell.dispatch();
     cell.pass(1);
-    CHECK(cell.sent.empty()); // decided, but not durable, so nothing may be said
+    CHECK(cell.sent.empty()); // scheduled, but not durable, so no answer may be sent
     cell.dispatch();
     cell.pass(1);
     REQUIRE(cell.sent.size() == 1);
@@ -227,7 +227,7 @@
     CHECK(cell.sent[1].has_dispatched());
 }
 
-TEST_CASE("a leaving target is drained once all that was decided for it has ended")
+TEST_CASE("a leaving target is drained once all tasks placed on it have ended")
 {
     lone_controller cell;
     cell.makeReady();
@@ -242,24 +242,24 @@
     cell.end(placement, messages::SUCCEEDED);
     cell.beat(1, 300);
     cell.pass(1);
-    CHECK_FALSE(cell.sent.back().heartbeat_reply().drained()); // it does not leave
+    CHECK_FALSE(cell.sent.back().heartbeat_reply().drained()); // it is not leaving now
     cell.beat(1, 400, true);
     cell.pass(1);
     CHECK(cell.sent.back().heartbeat_reply().drained());
     cell.sent.clear();
     cell.dispatch();
     cell.pass(1);
-    CHECK(cell.sent.empty()); // and gets no more work
+    CHECK(cell.sent.empty()); // it gets no more work
 }
 
-TEST_CASE("where one task of a gang does not start, the others are stopped and all start again")
+TEST_CASE("if one task of a gang does not start, the others are stopped and all start again")
 {
     lone_controller cell;
     cell.makeReady();
     const auto first = cell.startJob("gangs", 3);
     REQUIRE(first.size() == 3);
     cell.sent.clear();
-    cell.end(first[0], messages::NOT_RUN); // its target refused it after the commit
+    cell.end(first[0], messages::NOT_RUN); // its target refused the start after the commit
     std::set<std::uint64_t> stopped;
     for (const auto &envelope : cell.sent) {
         if (envelope.has_stop()) {
@@ -268,21 +268,21 @@
     }
     CHECK(stopped == std::set<std::uint64_t> {first[1], first[2]});
     cell.pass(2'000);
-    CHECK(cell.started().empty()); // not one of them alone
+    CHECK(cell.started().empty()); // none starts alone
     cell.end(first[1], messages::UNKNOWN);
-    cell.end(first[2], messages::SUCCEEDED); // it ended before the order came
+    cell.end(first[2], messages::SUCCEEDED); // ended before the stop order arrived
     cell.beat(1, 3'000);
     cell.pass(2'000);
     CHECK(cell.started().size() == 2);
 }
 
-TEST_CASE("batch work that overcommits a target is slowed down first, and stopped if it goes on")
+TEST_CASE("batch work that overcommits a target is throttled first, then stopped if necessary")
 {
     lone_controller cell;
     cell.makeReady();
     const auto placements = cell.startJob("batches", 2);
     REQUIRE(placements.size() == 2);
-    cell.beatRunning(200, placements, {3'000, 100, 0, 1}); // 6 of 4 cores
+    cell.beatRunning(200, placements, {3'000, 100, 0, 1}); // 6 cores in use of 4
     CHECK(cell.sent.back().heartbeat_reply().throttle_size() == 1);
     CHECK(cell.sent.back().heartbeat_reply().stop_size() == 0);
     cell.beatRunning(300, placements, {1'500, 100, 0, 1});
@@ -294,12 +294,12 @@
     CHECK(cell.sent.back().heartbeat_reply().stop_size() == 1);
 }
 
-TEST_CASE("a target that is being given up gets no new lease, however late its heartbeat comes")
+TEST_CASE("a target whose removal is proposed gets no new lease when a late heartbeat comes")
 {
     lone_controller cell;
     cell.makeReady();
     cell.now = cell.now + milliseconds {6'000};
-    cell.running->takeTime(cell.now); // the lease has ended: its removal is proposed
+    cell.running->takeTime(cell.now); // the lease has expired: the target's removal is proposed
     cell.sent.clear();
     cell.beat(1, 200);
     cell.running->flush(cell.now, 1);
--- a/modules/filbert_controller/tests/older_format_test.cpp
+++ b/modules/filbert_controller/tests/older_format_test.cpp
@@ -6,9 +6,9 @@
 
 using namespace filbert;
 
-TEST_CASE("a data folder that the first format's programs wrote is read")
+TEST_CASE("a data folder in the first format can be read")
 {
-    // Written by a controller with --snapshot_entries=6: a snapshot at 12, then a log.
+    // Written by a controller with --snapshot_entries=6: a snapshot at log index 12, then a log.
     const std::filesystem::path kept =
         FILBERT_SOURCE_FOLDER "/modules/filbert_controller/tests/data/format_1";
     const auto folder = std::filesystem::temp_directory_path()
--- a/modules/filbert_controller/work_intake.cpp
+++ b/modules/filbert_controller/work_intake.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t requestTicketBit = 1ULL << 63;
 constexpr milliseconds retryWhenFull {1'000};
-constexpr std::size_t unreachableWitnesses = 2; // gateways, where there are so many
+constexpr std::size_t unreachableWitnesses = 2; // gateways, if there are as many
 constexpr int maxTasksOfJob = 100'000;
 
 bool isAnswered(controller_state &state, const reply_address &from,
@@ -29,7 +29,7 @@
     if (record.request_digest() != request.request_digest()) {
         refuse(state, from, error_kind::KeyReused, "");
     } else if (record.placement_id() != 0) {
-        refuse(state, from, error_kind::OutcomeUnknown, "the first request is still under way",
+        refuse(state, from, error_kind::OutcomeUnknown, "the first request is still in progress",
                retryWhenFull);
     } else if (record.result() == messages::UNKNOWN) {
         refuse(state, from, error_kind::OutcomeUnknown, "");
@@ -41,8 +41,10 @@
     return true;
 }
 
-/** The latest start, in the target's clock. A lost start order is known as such once it has passed,
-    so it is near for requests whose callers wait, but never beyond the target's lease. */
+/** @return the latest start, by the target's clock. A start order that got lost is known to be lost
+    only after that time, so it is early for synchronous requests, whose callers wait. It is never
+    after the end of the target's lease.
+*/
 std::int64_t startByOf(const controller_state &state, const target_liveness &live, bool isRequest,
                        time_point now)
 {
@@ -167,7 +169,7 @@
              time_point now)
 {
     if (!end.unreachable_target().empty()) {
-        // One gateway that is cut off must not take targets from all others.
+        // A single gateway that is cut off must not make targets unavailable to all others.
         const auto witnesses = std::min<std::size_t>(state.gateways.size(), unreachableWitnesses);
         noteUnreachable(state.scheduler,
                         {end.unreachable_target(), end.placement_id(), from.gateway, witnesses},
@@ -197,7 +199,8 @@
     }
     const auto need = taskNeedOf(submission.task());
     if (submission.tasks() < 0 || submission.tasks() > maxTasksOfJob || !fitsWithin({}, need)) {
-        refuse(state, from, error_kind::Malformed, "tasks and sizes must be within bounds");
+        refuse(state, from, error_kind::Malformed,
+               "the number or the size of the tasks is out of range");
         return;
     }
     const auto bound = queue->max_waiting() > 0 ? static_cast<std::size_t>(queue->max_waiting())
@@ -206,7 +209,7 @@
     if (known != state.scheduler.teams.end()) {
         const auto &counts = known->second.waitingCount;
         if (counts[0] + counts[1] + counts[2] >= bound) {
-            refuse(state, from, error_kind::Overloaded, "too many jobs of the team wait",
+            refuse(state, from, error_kind::Overloaded, "too many jobs of the team are waiting",
                    retryWhenFull);
             return;
         }
@@ -230,7 +233,7 @@
         return;
     }
     if (change.action() != messages::RELEASE) {
-        dropWork(state.scheduler, change.id()); // at once: nothing of it starts any more
+        dropWork(state.scheduler, change.id()); // at once, so that no more of its tasks start
     }
     if (change.action() == messages::CANCEL) {
         for (const auto &task : state.cell.jobs.at(change.id()).tasks) {
--- a/modules/filbert_controller/work_intake.h
+++ b/modules/filbert_controller/work_intake.h
@@ -4,30 +4,31 @@
 
 namespace filbert {
 
-/** A gateway asks for room for a synchronous request. */
+/** Handles a gateway's request for a target that runs a synchronous request. */
 void takeDispatch(controller_state &state, const reply_address &from,
                   const messages::dispatch_request &request, time_point now);
 
-/** A gateway says how a synchronous request or a start order ended. */
+/** Handles a gateway's report on how a synchronous request or a start order ended. */
 void takeEnd(controller_state &state, const reply_address &from, const messages::placement_end &end,
              time_point now);
 
-/** A job is handed in; answered once it is durable. */
+/** Handles the submission of a job. The answer is sent once the job is durable. */
 void takeSubmission(controller_state &state, const reply_address &from,
                     const messages::job_submission &submission);
 
-/** A job is cancelled, held or released. */
+/** Handles a request to cancel, hold or release a job. */
 void takeJobChange(controller_state &state, const reply_address &from,
                    const messages::job_change &change);
 
-/** Orders a running task to end. @param action "stop" or "checkpoint", see docs/API.md; heartbeats
-    say it again until the task has ended */
+/** Orders a running task to end. Answers to heartbeats repeat the order until the task has ended.
+    @param action  "stop" or "checkpoint", see docs/API.md
+*/
 void sendStop(controller_state &state, std::uint64_t placement, const char *action);
 
-/** Sends requests that wait for room to the next leader, at a planned stop. */
+/** Redirects requests that wait for free capacity to the next leader, at a planned stop. */
 void turnWaitingAway(controller_state &state);
 
-/** Lets the scheduler decide and turns its decisions into commands. */
+/** Runs the scheduler and turns its decisions into commands. */
 void runScheduler(controller_state &state, time_point now);
 
 } // namespace filbert
