--- a/extras/commit_bench.cpp
+++ b/extras/commit_bench.cpp
@@ -34,7 +34,7 @@
     socket_transport transport {
         loop, context, "bench", site,
         [&](const std::string &address, const messages::envelope &envelope) {
-            links->takeAnswer(address, envelope, monotonicNow());
+            links->handleAnswer(address, envelope, monotonicNow());
         }};
     std::vector<std::string> addresses;
     for (const auto &address : splitList(FLAGS_controllers)) {
@@ -77,8 +77,8 @@
                 loop.post(next);
             });
     };
-    loop.every({10}, [&] { links->takeTime(monotonicNow()); });
-    loop.after({300}, [&] {
+    loop.callEvery({10}, [&] { links->tick(monotonicNow()); });
+    loop.callAfter({300}, [&] {
         lastAnswer = steady::now();
         for (int i = 0; i < FLAGS_window; ++i) {
             next();
@@ -108,5 +108,5 @@
     settings_check check {readSettings(&argc, &argv, "Commits a second of a cell.")};
     startLog(argv[0]);
     check.require(FLAGS_window > 0, "--window: expected above 0");
-    return check.isAllRight() ? run() : 2;
+    return check.isValid() ? run() : 2;
 }
--- a/extras/dispatch_bench.cpp
+++ b/extras/dispatch_bench.cpp
@@ -36,7 +36,7 @@
     void apply(const messages::work_command &command)
     {
         const auto outcome = applyCommand(state, command, wallMs);
-        afterCommand(leader, command, outcome.error != error_kind::None, now);
+        handleCommittedCommand(leader, command, outcome.error != error_kind::None, now);
     }
 
     void configure()
@@ -80,7 +80,7 @@
     void report()
     {
         for (int i = 0; i < FLAGS_targets; ++i) {
-            takeReport(leader, lifeOf(i), now);
+            handleTargetReport(leader, lifeOf(i), now);
         }
         commit();
     }
@@ -114,13 +114,13 @@
             order_answer answer;
             answer.result = order_result::Done;
             answer.clockMs = now.ms;
-            if (order.kind == order_kind::Look) {
-                for (const auto &task : state.lives.at(order.target).runs) {
+            if (order.kind == order_kind::Poll) {
+                for (const auto &task : state.targets.at(order.target).runs) {
                     answer.runs.push_back(
                         {task, findTask(state, task)->run, {}, 1 + int(now.ms / 100 % 99), 0});
                 }
             }
-            takeOrderAnswer(leader, order, answer, now);
+            handleOrderAnswer(leader, order, answer, now);
         }
         for (const auto &call : std::exchange(leader.effects.admissions, {})) {
             messages::admission_answer answer;
@@ -131,7 +131,7 @@
                 ticket->set_target(call.request.targets(i));
                 ticket->set_ticket("t");
             }
-            takeAdmission(leader, answer, now);
+            handleAdmissionAnswer(leader, answer, now);
         }
     }
 };
@@ -162,11 +162,11 @@
             cell.report();
         }
         for (int g = 0; g < 30; ++g) {
-            takeCaller(cell.leader, "gateway-" + std::to_string(g), 1, cell.now);
+            registerCaller(cell.leader, "gateway-" + std::to_string(g), 1, cell.now);
         }
-        cell.leader.isChanged = true;
+        cell.leader.mayPlaceMore = true;
         const auto start = steady::now();
-        stepDispatch(cell.leader, cell.now, cell.wallMs);
+        tickDispatch(cell.leader, cell.now, cell.wallMs);
         const auto took = millisecondsSince(start);
         steps += took;
         longest = std::max(longest, took);
@@ -177,7 +177,7 @@
     }
     std::size_t running = 0;
     for (const auto &[id, job] : cell.state.jobs) {
-        running += job.running;
+        running += job.runningTasks;
     }
     std::cout << std::fixed << std::setprecision(3) << "targets=" << FLAGS_targets
               << " jobs=" << FLAGS_jobs << " running_tasks=" << running
--- a/extras/election_bench.cpp
+++ b/extras/election_bench.cpp
@@ -35,7 +35,7 @@
             auto *member = everybody.add_members();
             member->set_identity("c" + std::to_string(i));
         }
-        messages::log_entry first = makeFirstEntry(everybody.members(0));
+        messages::log_entry first = makeBootstrapEntry(everybody.members(0));
         first.set_payload(everybody.SerializeAsString());
         for (int i = 0; i < count; ++i) {
             stored_state stored;
@@ -54,7 +54,7 @@
             deliver();
             if (now.ms % tick.count == 0) {
                 for (std::size_t i = 0; i < members.size(); ++i) {
-                    act(i, [&](auto &state, auto *effects) { stepTime(state, now, effects); });
+                    act(i, [&](auto &state, auto *effects) { tickLog(state, now, effects); });
                 }
             }
         }
@@ -87,9 +87,9 @@
         replication_effects effects;
         step(state, &effects);
         if (effects.mustPersist) {
-            stepPersisted(state, lastIndex(state), now, &effects);
+            handlePersisted(state, lastIndex(state), now, &effects);
         }
-        for (const auto *list : {&effects.early, &effects.send}) {
+        for (const auto *list : {&effects.messagesBeforeSync, &effects.messagesAfterSync}) {
             for (const auto &message : *list) {
                 inFlight.emplace(now + milliseconds {FLAGS_delay_ms}, message);
             }
@@ -104,8 +104,9 @@
             const int from = message.from()[1] - '0';
             const int to = message.to()[1] - '0';
             if (from != gone && to != gone) {
-                act(static_cast<std::size_t>(to),
-                    [&](auto &state, auto *effects) { stepMessage(state, message, now, effects); });
+                act(static_cast<std::size_t>(to), [&](auto &state, auto *effects) {
+                    handleReplicationMessage(state, message, now, effects);
+                });
             }
         }
     }
--- a/extras/load.cpp
+++ b/extras/load.cpp
@@ -68,9 +68,9 @@
         }
         ready.assign(gateways.size(), true);
         plan();
-        loop.every(tickPeriod, [this] { sendDue(); });
+        loop.callEvery(tickPeriod, [this] { sendDue(); });
         if (FLAGS_direct.empty()) {
-            loop.every(readyPeriod, [this] { askReadiness(); });
+            loop.callEvery(readyPeriod, [this] { askReadiness(); });
         }
     }
 
@@ -116,7 +116,7 @@
         while (next < requests.size() && requests[next].at <= steady::now()) {
             send(requests[next++]);
         }
-        if (next == requests.size() && client.openCalls() == 0) {
+        if (next == requests.size() && client.pendingCalls() == 0) {
             loop.stop();
         }
     }
@@ -130,7 +130,7 @@
             call.method = "GET";
             call.path = "/readyz";
             call.timeout = readyTimeout;
-            probes.send(std::move(call), [this, i](std::error_code error, http_answer &&answer) {
+            probes.send(std::move(call), [this, i](std::error_code error, http_response &&answer) {
                 ready[i] = !error && answer.status == 200;
             });
         }
@@ -159,17 +159,18 @@
         }
         call.body = request.body;
         call.timeout = {FLAGS_deadline_ms + 1'000};
-        client.send(std::move(call), [this, &request](std::error_code error, http_answer &&answer) {
-            take(request, error, answer);
-        });
+        client.send(std::move(call),
+                    [this, &request](std::error_code error, http_response &&answer) {
+                        take(request, error, answer);
+                    });
     }
 
-    void take(const planned_request &request, std::error_code error, const http_answer &answer)
+    void take(const planned_request &request, std::error_code error, const http_response &answer)
     {
         std::string outcome = "ran";
         if (error) {
-            outcome = std::string {outcomeName(errorRow(kindOf(error)).outcome)};
-            ++refused["client_" + std::string {errorRow(kindOf(error)).name}];
+            outcome = std::string {outcomeName(errorInfo(errorKindOf(error)).outcome)};
+            ++refused["client_" + std::string {errorInfo(errorKindOf(error)).name}];
         } else if (answer.status != 200) {
             messages::problem problem;
             std::string detail;
@@ -220,7 +221,7 @@
     settings_check check {readSettings(&argc, &argv, "An open-loop load over HTTP.")};
     startLog(argv[0]);
     check.require(FLAGS_rate > 0 && FLAGS_seconds > 0, "--rate, --seconds: expected above 0");
-    if (!check.isAllRight()) {
+    if (!check.isValid()) {
         return 2;
     }
     event_loop loop;
--- a/extras/planted_faults.sh
+++ b/extras/planted_faults.sh
@@ -44,7 +44,7 @@
 plant "the log is not synced" modules/filbert_storage/log_store.cpp \
     's/if \(files\.syncFile\(current\.name\) \|\| \(isNew/if ((isNew/'
 plant "answers leave before the sync" modules/filbert_controller/controller.cpp \
-    's/^( *)sendAll\(&effects\.early\);/\1sendAll(\&effects.early); sendAll(\&effects.send);/'
+    's/^( *)sendAll\(&effects\.messagesBeforeSync\);/\1sendAll(\&effects.messagesBeforeSync); sendAll(\&effects.messagesAfterSync);/'
 plant "a member votes twice in a term" $replication/elections.cpp \
     's/const bool isFree = .*/const bool isFree = true;/'
 plant "the vote is not stored" modules/filbert_storage/log_store.cpp \
@@ -52,9 +52,9 @@
 plant "any candidate gets the vote" $replication/elections.cpp \
     's/const bool isUpToDate = .*/const bool isUpToDate = true || request.last_term() > lastTerm(state)/'
 plant "votes are given while a leader is heard" $replication/elections.cpp \
-    's/return now - state\.lastHeard < state\.settings\.electionTimeout;/return state.randomState == 0 \&\& now.ms < 0;/'
+    's/return now - state\.lastLeaderContactAt < state\.settings\.electionTimeout;/return state.randomState == 0 \&\& now.ms < 0;/'
 plant "a leader serves after its lease" $replication/replicated_log.cpp \
-    's/&& now < state\.leaseUntil && /\&\& now.ms > 0 \&\& /'
+    's/&& now < state\.leaseExpiresAt$/\&\& now.ms > 0/'
 plant "learners count for commits" $replication/replicated_log.cpp \
     '0,/if \(member\.learner\(\)\) \{/s//if (member.learner() \&\& member.identity().empty()) {/'
 plant "entries of earlier terms commit by counting" $replication/replicated_log.cpp \
@@ -66,11 +66,11 @@
 plant "a lease is renewed during its target's removal" modules/filbert_controller/target_leases.cpp \
     's/if \(live\.isRemovalProposed\) \{/if (live.isRemovalProposed \&\& now.ms < 0) {/'
 plant "a new leader takes old leases for ended" modules/filbert_controller/leadership.cpp \
-    's/live\.leaseEnds = now \+ clockRateMargin\(state\.settings\.targetLease\);/live.leaseEnds = now;/'
+    's/live\.leaseExpiresAt = now \+ withClockRateMargin\(state\.settings\.targetLease\);/live.leaseExpiresAt = now;/'
 plant "a target's lease has no margin" modules/filbert_controller/target_leases.cpp \
-    's/live\.leaseEnds = now \+ clockRateMargin\(lease\);/live.leaseEnds = now + milliseconds {lease.count - 400};/'
+    's/live\.leaseExpiresAt = now \+ withClockRateMargin\(lease\);/live.leaseExpiresAt = now + milliseconds {lease.count - 400};/'
 plant "a gateway serves without a lease" modules/filbert_gateway/configuration_lease.cpp \
-    's/return lease\.configuration\.version\(\) > 0 && now < lease\.until;/return lease.configuration.version() > 0 \&\& now.ms > 0;/'
+    's/return lease\.configuration\.version\(\) > 0 && now < lease\.expiresAt;/return lease.configuration.version() > 0 \&\& now.ms > 0;/'
 plant "a lost answer counts as not run" modules/filbert_gateway/service_calls.cpp \
     's/isKnownNotRun \|\| error == error_kind::ConnectionFailed/isKnownNotRun || error/'
 plant "idempotency records are passed over" modules/filbert_cell/cell_state.cpp \
@@ -82,7 +82,7 @@
 plant "the base version is not checked" modules/filbert_cell/cell_state.cpp \
     's/change\.base_version\(\) != configuration\.version\(\)/change.base_version() < 0/'
 plant "a stale tail stays on the disk" modules/filbert_replication/log_access.cpp \
-    's/effects->mustDropTail = true;.*//'
+    's/effects->mustTruncateTail = true;.*//'
 plant "every refusal is answered at once" $replication/replicated_log.cpp \
     's/^        return hasMoved;/        return true;/'
 plant "a target is called drained too early" modules/filbert_controller/target_leases.cpp \
--- a/extras/policy_bench/filbert_policy_bench.cpp
+++ b/extras/policy_bench/filbert_policy_bench.cpp
@@ -118,7 +118,7 @@
         settings.historyWeight = FLAGS_history_weight;
     }
     if (FLAGS_urgent_reserve >= 0) {
-        settings.urgentReserve = FLAGS_urgent_reserve;
+        settings.urgentReserveFraction = FLAGS_urgent_reserve;
     }
     return settings;
 }
@@ -209,12 +209,12 @@
     scheduler_state scheduler;
     constexpr int targets = 14'000;
     for (int i = 0; i < targets; ++i) {
-        target_view view;
+        target_entry view;
         view.name = "host" + std::to_string(i);
         view.failureDomain = "d" + std::to_string(i % 8);
         view.capacity = {64'000, 256'000, 0, 18};
         view.services = {"work"};
-        setTarget(scheduler, view, true);
+        updateTarget(scheduler, view, true);
     }
     const auto before = residentKb();
     std::cout << "tasks=0 resident_kb=" << before << "\n";
@@ -223,12 +223,12 @@
         while (placement < tasks) {
             running_task task;
             task.target = static_cast<std::uint32_t>(placement % targets);
-            task.ticket = placement;
+            task.workId = placement;
             task.team = "team" + std::to_string(placement % 440);
             task.service = "work";
-            task.learnName = task.team + "/work";
+            task.estimateKey = task.team + "/work";
             task.need = {3'000, 8'000, 0, 1};
-            noteRunning(scheduler, ++placement, std::move(task));
+            addRunningTask(scheduler, ++placement, std::move(task));
         }
         std::cout << "tasks=" << tasks << " resident_kb=" << residentKb() << " bytes_per_task="
                   << (residentKb() - before) * 1'024 / static_cast<std::int64_t>(tasks)
@@ -246,7 +246,7 @@
     settings_check check {readSettings(&argc, &argv, "The policy against baselines.")};
     startLog(argv[0]);
     silenceLog();
-    if (!check.isAllRight()) {
+    if (!check.isValid()) {
         return 2;
     }
     if (FLAGS_trial == "size") {
--- a/extras/policy_bench/policy_trial.cpp
+++ b/extras/policy_bench/policy_trial.cpp
@@ -60,7 +60,7 @@
                 take(event);
             }
             takeMishaps();
-            reviewQuarantines(scheduler, {now});
+            endExpiredQuarantines(scheduler, {now});
             decide();
             sample();
         }
@@ -97,13 +97,13 @@
         int number = 0;
         for (const auto &group : plan.groups) {
             for (int i = 0; i < group.count; ++i, ++number) {
-                target_view view;
+                target_entry view;
                 view.name = group.name + std::to_string(i);
                 view.failureDomain = "d" + std::to_string(number % 3);
                 view.capacity = group.capacity;
                 view.services = group.services;
                 views.push_back(view);
-                setTarget(scheduler, view, true);
+                updateTarget(scheduler, view, true);
             }
         }
     }
@@ -139,25 +139,25 @@
     {
         const auto &work = plan.streams[stream];
         work_item item;
-        item.ticket = ++lastTicket;
+        item.workId = ++lastTicket;
         item.kind = work.kind;
         item.team = work.team;
         item.service = work.service;
         item.queue = work.service;
-        item.declared = work.need;
-        item.declared.slots = 1;
+        item.declaredNeed = work.need;
+        item.declaredNeed.slots = 1;
         item.size = work.tasks;
         item.isIdempotent = work.isIdempotent;
         for (int i = 0; i < work.tasks; ++i) {
             item.tasks.push_back(i);
         }
         if (work.kind == work_class::Urgent) {
-            item.giveUpAt = {now + urgentPatienceMs};
+            item.startDeadline = {now + urgentPatienceMs};
             at(now + urgentPatienceMs, event_kind::Wake, 0);
-            at(now + scheduler.settings.preemptAfter.count, event_kind::Wake, 0);
+            at(now + scheduler.settings.preemptionDelay.count, event_kind::Wake, 0);
         }
-        known[item.ticket] = {stream, now, false, item, 0};
-        const auto ticket = item.ticket;
+        known[item.workId] = {stream, now, false, item, 0};
+        const auto ticket = item.workId;
         if (addWork(scheduler, std::move(item), {now})) {
             ++result.refused;
             known.erase(ticket);
@@ -198,13 +198,13 @@
         const bool mustRunAgain = isStopped || run.isPoisoned;
         (isStopped ? wastedMs : usefulMs) += took;
         if (!isStopped) {
-            noteResult(scheduler, placement, !run.isPoisoned, {now});
+            recordTaskResult(scheduler, placement, !run.isPoisoned, {now});
         }
         result.failed += run.isPoisoned ? 1 : 0;
         releaseTask(scheduler, placement, {now});
         if (mustRunAgain) {
             run.item.failures = run.isPoisoned ? 1 : 0;
-            returnTask(scheduler, std::move(run.item), run.task, {now});
+            requeueTask(scheduler, std::move(run.item), run.task, {now});
             at(now + 500, event_kind::Wake, 0);
         }
     }
@@ -221,7 +221,7 @@
         }
         result.refused += decided.refusals.size();
         for (const auto &stop : decided.stops) {
-            at(now + stopMs, event_kind::Stopped, stop.placement);
+            at(now + stopMs, event_kind::Stopped, stop.placementId);
         }
         for (const auto &placed : decided.placements) {
             start(placed);
@@ -230,9 +230,9 @@
 
     void start(const placement_decision &placed)
     {
-        auto &origin = known.at(placed.ticket);
+        auto &origin = known.at(placed.workId);
         const auto stream = origin.stream;
-        const auto &task = scheduler.running.at(placed.placement);
+        const auto &task = scheduler.running.at(placed.placementId);
         if (now >= plan.warmUpMs) {
             const auto waited = static_cast<double>(now - origin.since);
             auto &waits = task.kind == work_class::Urgent ? urgentWaits
@@ -248,16 +248,16 @@
             ? poisonedRunMs
             : std::max<std::int64_t>(
                 1, static_cast<std::int64_t>(lengths[stream](generators[stream])));
-        running[placed.placement] = {stream, now, isPoisoned, origin.item, placed.task};
-        at(now + runMs, event_kind::End, placed.placement);
+        running[placed.placementId] = {stream, now, isPoisoned, origin.item, placed.taskIndex};
+        at(now + runMs, event_kind::End, placed.placementId);
         if (plan.sizeErrorLog10 > 0) {
             std::uniform_real_distribution<double> error {-plan.sizeErrorLog10,
                                                           plan.sizeErrorLog10};
             auto used =
-                origin.item.declared; // what a task really uses does not follow what is learned
+                origin.item.declaredNeed; // what a task really uses does not follow what is learned
             used.milliCores = static_cast<std::int64_t>(static_cast<double>(used.milliCores)
                                                         * std::pow(10, error(random)));
-            noteUsage(scheduler, placed.placement, used);
+            recordUsage(scheduler, placed.placementId, used);
         }
     }
 
@@ -272,7 +272,7 @@
                 }
             }
             for (const auto ticket : tickets) {
-                dropWork(scheduler, ticket);
+                removeWork(scheduler, ticket);
             }
         }
         const bool isOut = plan.loseDomainAtMs > 0 && now >= plan.loseDomainAtMs
@@ -287,9 +287,9 @@
         }
     }
 
-    void loseOrReturn(const target_view &view, bool isOut)
+    void loseOrReturn(const target_entry &view, bool isOut)
     {
-        setTarget(scheduler, view, !isOut);
+        updateTarget(scheduler, view, !isOut);
         if (!isOut) {
             return;
         }
@@ -317,7 +317,7 @@
         bool waitsForAccelerators = false;
         for (const auto &[name, team] : scheduler.teams) {
             for (const auto kind : {work_class::Batch, work_class::Gang}) {
-                const auto &queue = team.waiting[static_cast<std::size_t>(kind)];
+                const auto &queue = team.waitingIds[static_cast<std::size_t>(kind)];
                 for (std::size_t i = 0; i < std::min<std::size_t>(queue.size(), 4); ++i) {
                     const auto found = scheduler.waiting.find(queue[i]);
                     waitsForAccelerators |=
@@ -391,7 +391,7 @@
     std::mt19937_64 random;
     scheduler_state scheduler;
     std::priority_queue<event> events;
-    std::vector<target_view> views;
+    std::vector<target_entry> views;
     std::vector<std::lognormal_distribution<double>> lengths;
     std::vector<std::mt19937_64> generators;
     std::unordered_map<std::uint64_t, running_run> known; // by ticket
--- a/extras/random_run/fake_hosts.h
+++ b/extras/random_run/fake_hosts.h
@@ -38,7 +38,7 @@
             self.set_identity(identity);
             self.set_name(name);
             self.set_address("tcp://" + name);
-            fresh.append(1, "", {makeFirstEntry(self)});
+            fresh.append(1, "", {makeBootstrapEntry(self)});
         }
     }
 
@@ -52,7 +52,7 @@
         FILBERT_INVARIANT(!error, "a controller starts again after a crash");
         controller_settings settings;
         settings.snapshotEntries = 200;
-        settings.snapshotPartRecords = 3;
+        settings.snapshotChunkRecords = 3;
         replication_settings replication;
         replication.snapshotChunkBytes = 2'000;
         running = std::make_unique<controller>(settings, replication, state, time.random(), *store,
@@ -83,7 +83,7 @@
         }
         messages::envelope envelope;
         if (running && envelope.ParseFromString(bytes)) {
-            running->takeMessage(from, envelope, now());
+            running->handleMessage(from, envelope, now());
             flush();
         }
     }
@@ -91,7 +91,7 @@
     void tick()
     {
         if (running && !isPaused) {
-            running->takeTime(now());
+            running->tick(now());
             flush();
         }
     }
@@ -150,7 +150,7 @@
 public:
     using to_controller = std::function<void(const std::string &to, const std::string &bytes)>;
     using to_target = std::function<void(target_call &&, handler)>;
-    using on_answer = std::function<void(http_answer &&)>;
+    using on_answer = std::function<void(http_response &&)>;
 
     gateway_host(virtual_time &time, std::string name, to_controller toController,
                  to_target toTarget)
@@ -186,9 +186,9 @@
         if (!running || !envelope.ParseFromString(bytes)) {
             return;
         }
-        running->takeTime(now());
-        if (!links->takeAnswer("tcp://" + from, envelope, now())) {
-            running->takeOrder(envelope, now());
+        running->tick(now());
+        if (!links->handleAnswer("tcp://" + from, envelope, now())) {
+            running->handleOrder(envelope, now());
         }
     }
 
@@ -200,10 +200,10 @@
         }
         request.id = ++lastRequest;
         waiting[request.id] = std::move(onAnswer);
-        running->takeRequest(std::move(request), now());
+        running->handleRequest(std::move(request), now());
     }
 
-    void respond(std::uint64_t id, http_answer &&answer) override
+    void respond(std::uint64_t id, http_response &&answer) override
     {
         auto found = waiting.extract(id);
         FILBERT_INVARIANT(!found.empty(), "a request is answered once");
@@ -216,17 +216,17 @@
         return true;
     }
 
-    void prepare(const std::string & /*address*/) override { }
-    void renew(const std::string & /*address*/) override { }
+    void connect(const std::string & /*address*/) override { }
+    void reconnect(const std::string & /*address*/) override { }
 
     void call(target_call &&out, handler onAnswer) override
     {
         const auto id = out.id;
         auto isEnded = std::make_shared<bool>(false);
         handler once = [this, life = lives, onAnswer, isEnded](std::error_code error,
-                                                               http_answer &&answer) {
+                                                               http_response &&answer) {
             if (running && lives == life && !std::exchange(*isEnded, true)) {
-                running->takeTime(now());
+                running->tick(now());
                 onAnswer(error, std::move(answer));
             }
         };
--- a/extras/random_run/fake_target.h
+++ b/extras/random_run/fake_target.h
@@ -37,7 +37,7 @@
         finished.clear();
         ++epoch;
         startedEver.clear();
-        leaseUntil = 0;
+        leaseExpiresAt = 0;
         clock.offset = -time.now.ms * clock.perMille / 1'000 + 1;
         isAnnounced = false;
         isLeaving = false;
@@ -54,7 +54,7 @@
         if (ofEpoch == epoch && startedEver.contains(placement)) {
             return "started before";
         }
-        if (ofEpoch != epoch || clockMs() > startBy || clockMs() > leaseUntil) {
+        if (ofEpoch != epoch || clockMs() > startBy || clockMs() > leaseExpiresAt) {
             return "refused";
         }
         FILBERT_INVARIANT(!isDrained, "a drained target gets no more work");
@@ -83,7 +83,7 @@
     /** A target stops everything by itself when its lease has ended. */
     void dropAfterLease()
     {
-        if (clockMs() <= leaseUntil) {
+        if (clockMs() <= leaseExpiresAt) {
             return;
         }
         for (const auto &[placement, task] : running) {
@@ -99,7 +99,7 @@
     resource_amounts capacity;
     skewed_clock clock;
     std::int64_t epoch = 0;
-    std::int64_t leaseUntil = 0;
+    std::int64_t leaseExpiresAt = 0;
     std::map<std::uint64_t, started_task> running;
     std::map<std::uint64_t, bool> finished; // until acknowledged: whether it was stopped
     std::set<std::uint64_t> startedEver;
--- a/extras/random_run/random_cell.cpp
+++ b/extras/random_run/random_cell.cpp
@@ -103,7 +103,7 @@
     }
     for (const auto &host : gateways) {
         if (host->running) {
-            host->running->takeTime(host->now());
+            host->running->tick(host->now());
         }
     }
     checkLeases();
@@ -119,7 +119,7 @@
         if (!host->hasValidLease()) {
             continue;
         }
-        for (const auto &[name, progress] : host->running->view().log.followers) {
+        for (const auto &[name, progress] : host->running->view().log.followerProgress) {
             FILBERT_INVARIANT(!hasLostEntries(progress), "a member keeps what it acknowledged");
         }
     }
@@ -135,7 +135,7 @@
         host->start();
     }
     for (const auto &host : gateways) {
-        host->start(operatorKey.stored);
+        host->start(operatorKey.storedKey);
     }
     tickHosts();
     const auto until = [&](const std::function<bool()> &holds) {
@@ -147,8 +147,9 @@
     };
     until([&] { return leader() != nullptr; });
     until([&] {
-        return std::all_of(gateways.begin(), gateways.end(),
-                           [](const auto &host) { return host->running->hasContact(host->now()); });
+        return std::all_of(gateways.begin(), gateways.end(), [](const auto &host) {
+            return host->running->hasLeaderContact(host->now());
+        });
     });
     for (std::size_t i = 1; i < controllers.size(); ++i) {
         isReplacing = true;
@@ -185,7 +186,7 @@
     auto *leading = leader();
     FILBERT_INVARIANT(leading != nullptr, "a healed cell has a leader");
     const auto &view = leading->running->view();
-    checkCell(view.cell);
+    checkCellInvariants(view.cell);
     for (const auto &[id, submission] : acceptedJobs) {
         const auto job = view.cell.jobs.find(id);
         FILBERT_INVARIANT(job != view.cell.jobs.end(), "an acknowledged job is found again");
--- a/extras/random_run/random_cell.h
+++ b/extras/random_run/random_cell.h
@@ -69,8 +69,8 @@
     void route(const std::string &from, const std::string &to, const std::string &bytes);
     void callTarget(const std::string &from, target_call &&call,
                     const target_port::handler &onAnswer);
-    http_answer answerOfTarget(fake_target &target, const target_call &call,
-                               const std::function<void(http_answer &&)> &later);
+    http_response answerOfTarget(fake_target &target, const target_call &call,
+                                 const std::function<void(http_response &&)> &later);
     void tickHosts();
     void setUp();
     void checkLeases();
@@ -78,19 +78,19 @@
     // Targets.
     void beat(fake_target &target);
     void announce(fake_target &target);
-    void takeBeatReply(fake_target &target, std::int64_t epoch, const http_answer &answer);
+    void takeBeatReply(fake_target &target, std::int64_t epoch, const http_response &answer);
 
     // Callers and operators.
     void actAsCaller();
     void sendService(const std::string &service, const std::string &body, const std::string &key,
                      const std::string &token);
     void takeServiceAnswer(const std::string &body, const std::string &key,
-                           std::uint64_t withdrawalsSeen, http_answer &&answer);
+                           std::uint64_t withdrawalsSeen, http_response &&answer);
     void submitJob();
     void cancelJob();
     void actAsOperator();
     void apply(std::int64_t base, bool hasSpareKey, const std::string &requestId);
-    void noteChangeAnswer(std::size_t number, const http_answer &answer);
+    void noteChangeAnswer(std::size_t number, const http_response &answer);
     void learnVersion();
     void watchInForce(std::int64_t version, std::uint64_t change);
     messages::configuration makeConfiguration(bool hasSpareKey, int variant) const;
@@ -121,10 +121,10 @@
     std::map<std::int64_t, std::string> digestOfVersion;
     std::map<std::string, std::int64_t> versionOfRequest;
     std::vector<history_operation<configuration_call>> changes; // checked at the end
-    made_key operatorKey;
-    made_key teamKey;
-    made_key spareKey;
-    made_key targetKey;
+    generated_key operatorKey;
+    generated_key teamKey;
+    generated_key spareKey;
+    generated_key targetKey;
     std::int64_t knownVersion = 0;
     std::uint64_t configurationChanges = 0; // that may have been accepted
     bool isSpareWithdrawn = false;
--- a/extras/random_run/random_cell_callers.cpp
+++ b/extras/random_run/random_cell_callers.cpp
@@ -56,14 +56,14 @@
     const bool isWithdrawn = token == spareKey.token && isSpareWithdrawn;
     const auto seen = isWithdrawn ? configurationChanges + 1 : 0;
     ++summary.unanswered;
-    anyGateway().request(std::move(request), [this, body, key, seen](http_answer &&answer) {
+    anyGateway().request(std::move(request), [this, body, key, seen](http_response &&answer) {
         --summary.unanswered;
         takeServiceAnswer(body, key, seen, std::move(answer));
     });
 }
 
 void random_cell::takeServiceAnswer(const std::string &body, const std::string &key,
-                                    std::uint64_t withdrawalsSeen, http_answer &&answer)
+                                    std::uint64_t withdrawalsSeen, http_response &&answer)
 {
     note(static_cast<std::uint64_t>(answer.status));
     if (answer.status == 200) {
@@ -106,7 +106,7 @@
     body.set_payload(isIdempotent ? "again" : "once");
     auto request = requestOf("POST", "/v1/jobs", teamKey.token, writeJson(body));
     request.idempotencyKey = "job-" + std::to_string(++lastBody);
-    anyGateway().request(std::move(request), [this](http_answer &&answer) {
+    anyGateway().request(std::move(request), [this](http_response &&answer) {
         messages::job_reply reply;
         std::string detail;
         if (answer.status == 201 && !readJson(answer.body, &reply, &detail)) {
@@ -127,7 +127,7 @@
                                  static_cast<std::ptrdiff_t>(time.below(acceptedJobs.size())));
     anyGateway().request(
         requestOf("DELETE", "/v1/jobs/" + std::to_string(which->first), teamKey.token, ""),
-        [](http_answer &&) {});
+        [](http_response &&) {});
 }
 
 } // namespace filbert
--- a/extras/random_run/random_cell_faults.cpp
+++ b/extras/random_run/random_cell_faults.cpp
@@ -33,7 +33,7 @@
         if (mix.crashes && host.running) {
             host.powerOff();
             time.after(static_cast<std::int64_t>(time.below(3'000)),
-                       [this, &host] { host.start(operatorKey.stored); });
+                       [this, &host] { host.start(operatorKey.storedKey); });
         }
         break;
     }
@@ -83,7 +83,7 @@
         || !network.cut.empty()) {
         return;
     }
-    const auto &members = leading->running->view().log.members;
+    const auto &members = leading->running->view().log.membership;
     const auto isVoterNow = [&](const auto &each) {
         const auto *member = findMember(members, each->identity);
         return member != nullptr && !member->learner();
@@ -110,7 +110,7 @@
         again();
         return;
     }
-    const auto &members = leading->running->view().log.members;
+    const auto &members = leading->running->view().log.membership;
     const auto *now = findMember(members, host.identity);
     if (findMember(members, oldIdentity) == nullptr && now != nullptr && !now->learner()) {
         isReplacing = false;
@@ -123,7 +123,7 @@
         change.mutable_member()->set_identity(mustRemove ? oldIdentity : host.identity);
         change.mutable_member()->set_address("tcp://" + host.name);
         anyGateway().request(requestOf("POST", "/v1/members", operatorKey.token, writeJson(change)),
-                             [](http_answer &&) {});
+                             [](http_response &&) {});
     }
     again();
 }
--- a/extras/random_run/random_cell_operators.cpp
+++ b/extras/random_run/random_cell_operators.cpp
@@ -13,15 +13,15 @@
     auto *team = whole.add_teams();
     team->set_name("free");
     team->set_share(1 + variant % 7);
-    *team->add_keys() = teamKey.stored;
+    *team->add_keys() = teamKey.storedKey;
     if (hasSpareKey) {
-        *team->add_keys() = spareKey.stored;
+        *team->add_keys() = spareKey.storedKey;
     }
     auto *limited = whole.add_teams();
     limited->set_name("limited");
     limited->set_share(1);
     limited->mutable_upper_limit()->set_slots(limitedTeamSlots);
-    *limited->add_keys() = fixedKey("limited-desk").stored;
+    *limited->add_keys() = fixedKey("limited-desk").storedKey;
     const auto addQueue = [&](const char *name, messages::queue_policy policy) {
         auto *queue = whole.add_queues();
         queue->set_name(name);
@@ -40,11 +40,11 @@
     };
     addService("quote", true);
     addService("die", false);
-    const auto addPrincipal = [&](const char *name, const char *role, const made_key &key) {
+    const auto addPrincipal = [&](const char *name, const char *role, const generated_key &key) {
         auto *principal = whole.add_principals();
         principal->set_name(name);
         principal->set_role(role);
-        *principal->add_keys() = key.stored;
+        *principal->add_keys() = key.storedKey;
     };
     addPrincipal("operators", "operator", operatorKey);
     addPrincipal("booths", "target", targetKey);
@@ -81,7 +81,7 @@
     const auto number = changes.size();
     changes.push_back({time.now.ms, neverReturned, {requestId, base}});
     anyGateway().request(requestOf("PUT", "/v1/configuration", operatorKey.token, writeJson(body)),
-                         [this, hasSpareKey, requestId, change, number](http_answer &&answer) {
+                         [this, hasSpareKey, requestId, change, number](http_response &&answer) {
                              noteChangeAnswer(number, answer);
                              messages::apply_reply reply;
                              std::string detail;
@@ -104,7 +104,7 @@
                          });
 }
 
-void random_cell::noteChangeAnswer(std::size_t number, const http_answer &answer)
+void random_cell::noteChangeAnswer(std::size_t number, const http_response &answer)
 {
     auto &change = changes[number];
     messages::apply_reply reply;
@@ -124,7 +124,7 @@
 void random_cell::learnVersion()
 {
     anyGateway().request(requestOf("GET", "/v1/members", operatorKey.token, ""),
-                         [this](http_answer &&answer) {
+                         [this](http_response &&answer) {
                              messages::status_reply status;
                              std::string detail;
                              if (answer.status == 200 && !readJson(answer.body, &status, &detail)) {
@@ -140,7 +140,7 @@
     }
     auto request = requestOf("GET", "/v1/members", operatorKey.token, "");
     request.query = "version=" + std::to_string(version);
-    anyGateway().request(std::move(request), [this, version, change](http_answer &&answer) {
+    anyGateway().request(std::move(request), [this, version, change](http_response &&answer) {
         messages::status_reply status;
         std::string detail;
         const bool isKnown = answer.status == 200 && !readJson(answer.body, &status, &detail);
--- a/extras/random_run/random_cell_targets.cpp
+++ b/extras/random_run/random_cell_targets.cpp
@@ -27,14 +27,15 @@
         return;
     }
     auto isDone = std::make_shared<bool>(false);
-    const auto finish = [isDone, onAnswer](std::error_code error, http_answer &&answer) {
+    const auto finish = [isDone, onAnswer](std::error_code error, http_response &&answer) {
         if (!std::exchange(*isDone, true)) {
             onAnswer(error, std::move(answer));
         }
     };
     time.after(call.timeout.count, [finish] { finish(error_kind::Timeout, {}); });
-    const auto back = [this, from, &target, finish](http_answer &&answer) {
-        network.sendOnce(target.name, from, [finish, answer] { finish({}, http_answer {answer}); });
+    const auto back = [this, from, &target, finish](http_response &&answer) {
+        network.sendOnce(target.name, from,
+                         [finish, answer] { finish({}, http_response {answer}); });
     };
     network.sendOnce(from, target.name, [this, &target, call, back] {
         for (const auto &each : targets) {
@@ -47,10 +48,10 @@
     });
 }
 
-http_answer random_cell::answerOfTarget(fake_target &target, const target_call &call,
-                                        const std::function<void(http_answer &&)> &later)
+http_response random_cell::answerOfTarget(fake_target &target, const target_call &call,
+                                          const std::function<void(http_response &&)> &later)
 {
-    http_answer answer;
+    http_response answer;
     if (call.path == "/v1/run") {
         const auto placement =
             static_cast<std::uint64_t>(headerNumber(call.headers, "filbert-placement"));
@@ -65,7 +66,7 @@
         const auto why = target.start(placement, headerNumber(call.headers, "filbert-epoch"),
                                       headerNumber(call.headers, "filbert-start-by"), task,
                                       static_cast<std::int64_t>(1 + time.below(300)),
-                                      [later, answer] { later(http_answer {answer}); });
+                                      [later, answer] { later(http_response {answer}); });
         answer.status = why.empty() ? 0 : (why == "refused" ? 412 : 409);
         return answer;
     }
@@ -108,7 +109,7 @@
     }
     gateway.request(requestOf("POST", "/v1/targets/" + target.name + "/announce", targetKey.token,
                               writeJson(body)),
-                    [&target, epoch = target.epoch](http_answer &&answer) {
+                    [&target, epoch = target.epoch](http_response &&answer) {
                         target.isAnnounced |= answer.status == 200 && target.epoch == epoch;
                     });
 }
@@ -144,13 +145,14 @@
     network.send(target.name, gateway.name,
                  [this, &gateway, &target, path, epoch = target.epoch, text = writeJson(body)] {
                      gateway.request(requestOf("POST", path, targetKey.token, text),
-                                     [this, &target, epoch](http_answer &&answer) {
+                                     [this, &target, epoch](http_response &&answer) {
                                          takeBeatReply(target, epoch, answer);
                                      });
                  });
 }
 
-void random_cell::takeBeatReply(fake_target &target, std::int64_t epoch, const http_answer &answer)
+void random_cell::takeBeatReply(fake_target &target, std::int64_t epoch,
+                                const http_response &answer)
 {
     messages::heartbeat_reply reply;
     std::string detail;
@@ -162,7 +164,7 @@
         return;
     }
     target.dropAfterLease();
-    target.leaseUntil = std::max(target.leaseUntil, reply.lease_until());
+    target.leaseExpiresAt = std::max(target.leaseExpiresAt, reply.lease_until());
     for (const auto placement : reply.acknowledged()) {
         target.finished.erase(placement);
     }
--- a/extras/random_run/run_requests.cpp
+++ b/extras/random_run/run_requests.cpp
@@ -5,11 +5,11 @@
 
 namespace filbert {
 
-made_key fixedKey(const std::string &id)
+generated_key fixedKey(const std::string &id)
 {
-    static std::map<std::string, made_key> made;
+    static std::map<std::string, generated_key> made;
     if (!made.contains(id)) {
-        made[id] = makeKey(id);
+        made[id] = generateKey(id);
     }
     return made[id];
 }
--- a/extras/random_run/run_requests.h
+++ b/extras/random_run/run_requests.h
@@ -9,7 +9,7 @@
 
 /** A key that is made once in a process, so that each run in it has the same ones. @param id of it
  */
-made_key fixedKey(const std::string &id);
+generated_key fixedKey(const std::string &id);
 
 /** @return a whole request as an HTTP server hands it on */
 http_request requestOf(const std::string &method, const std::string &path, const std::string &token,
--- a/extras/stand_in_target.cpp
+++ b/extras/stand_in_target.cpp
@@ -41,7 +41,7 @@
 constexpr milliseconds callTimeout {1'000}; // a quarter of a lease, so that others can be tried
 constexpr milliseconds stopCheckPeriod {100};
 constexpr milliseconds drainPatience {10'000}; // then it stops although no gateway answered
-constexpr int exitWrongSettings = 2;
+constexpr int exitInvalidSettings = 2;
 constexpr std::size_t keptStarted = 100'000;
 
 struct running_entry
@@ -57,7 +57,7 @@
 {
     std::string name;
     std::int64_t epoch = 0;
-    time_point leaseUntil;
+    time_point leaseExpiresAt;
     std::map<std::uint64_t, running_entry> running;
     std::map<std::uint64_t, messages::finished_task> finished; // until acknowledged
     std::set<std::uint64_t> started;
@@ -98,15 +98,15 @@
         if (!FLAGS_record.empty()) {
             record.open(FLAGS_record, std::ios::app);
         }
-        loop.every({FLAGS_heartbeat_ms}, [this] { beat(); });
-        loop.every({20}, [this] { endTasks(); });
+        loop.callEvery({FLAGS_heartbeat_ms}, [this] { beat(); });
+        loop.callEvery({20}, [this] { endTasks(); });
         loop.post([this] { beat(); });
     }
 
-    void takeRequest(http_server &server, http_request &&request)
+    void handleRequest(http_server &server, http_request &&request)
     {
         if (request.path == "/v1/direct") {
-            http_answer answer; // a baseline without the product between
+            http_response answer; // a baseline without the product between
             answer.contentType = "text/plain";
             answer.body = FLAGS_name + " did " + request.body;
             server.respond(request.id, std::move(answer));
@@ -117,7 +117,7 @@
         } else if (request.path == "/v1/tasks/stop") {
             stopTask(server, request);
         } else {
-            server.respond(request.id, problemAnswer(error_kind::NotFound, request.path));
+            server.respond(request.id, problemResponse(error_kind::NotFound, request.path));
         }
     }
 
@@ -164,7 +164,7 @@
         if (target.started.contains(placement)) {
             return {}; // not refused: it did start, and whoever asks again is told so
         }
-        if (monotonicNow().ms > startBy || monotonicNow() > target.leaseUntil) {
+        if (monotonicNow().ms > startBy || monotonicNow() > target.leaseExpiresAt) {
             return "too late";
         }
         if (static_cast<int>(target.running.size()) >= FLAGS_slots) {
@@ -198,7 +198,7 @@
             : whyNot(found->second, placement, headerNumber(headers, "filbert-epoch"),
                      headerNumber(headers, "filbert-start-by"));
         if (!why.empty()) {
-            auto answer = problemAnswer(error_kind::TargetRefused, why);
+            auto answer = problemResponse(error_kind::TargetRefused, why);
             answer.status = statusRefused;
             answer.headers.push_back({"filbert-placement", std::to_string(placement)});
             server.respond(request.id, std::move(answer));
@@ -206,7 +206,8 @@
         }
         auto &target = found->second;
         if (target.started.contains(placement)) {
-            server.respond(request.id, problemAnswer(error_kind::OutcomeUnknown, "started before"));
+            server.respond(request.id,
+                           problemResponse(error_kind::OutcomeUnknown, "started before"));
             return;
         }
         note(target, placement, headerValue(headers, "filbert-service"), request.body);
@@ -218,7 +219,7 @@
                 return;
             }
             finish(target, placement, !FLAGS_fail_all, false);
-            http_answer answer;
+            http_response answer;
             answer.status = FLAGS_fail_all ? 500 : 200;
             answer.contentType = "text/plain";
             answer.headers.push_back({"filbert-placement", std::to_string(placement)});
@@ -228,7 +229,7 @@
         if (workMs <= 0) {
             answerIt();
         } else {
-            loop.after({workMs}, std::move(answerIt));
+            loop.callAfter({workMs}, std::move(answerIt));
         }
     }
 
@@ -237,14 +238,14 @@
         messages::start_order order;
         std::string detail;
         if (readJson(request.body, &order, &detail)) {
-            server.respond(request.id, problemAnswer(error_kind::Malformed, detail));
+            server.respond(request.id, problemResponse(error_kind::Malformed, detail));
             return;
         }
         const auto found = targets.find(order.target());
         const auto why = found == targets.end()
             ? "no such target"
             : whyNot(found->second, order.placement_id(), order.target_epoch(), order.start_by());
-        http_answer answer;
+        http_response answer;
         answer.status = why.empty() ? statusAccepted : statusRefused;
         answer.body = "{}";
         if (why.empty() && !found->second.started.contains(order.placement_id())) {
@@ -264,14 +265,14 @@
         messages::stop_order order;
         std::string detail;
         if (readJson(request.body, &order, &detail)) {
-            server.respond(request.id, problemAnswer(error_kind::Malformed, detail));
+            server.respond(request.id, problemResponse(error_kind::Malformed, detail));
             return;
         }
         const auto found = targets.find(order.target());
         if (found != targets.end()) {
             stopPlacement(found->second, order.placement_id());
         }
-        http_answer answer;
+        http_response answer;
         answer.body = "{}";
         server.respond(request.id, std::move(answer));
     }
@@ -299,7 +300,7 @@
         for (auto &[name, target] : targets) {
             bool hasNews = false;
             for (auto at = target.running.begin(); at != target.running.end();) {
-                const bool isLate = now > target.leaseUntil;
+                const bool isLate = now > target.leaseExpiresAt;
                 const bool isDone = at->second.endsAt.ms != 0 && now >= at->second.endsAt;
                 if (isDone || isLate) {
                     finish(target, at->first, !at->second.willFail, isLate);
@@ -314,7 +315,7 @@
     }
 
     void post(stand_in &target, const std::string &action, const google::protobuf::Message &body,
-              std::function<void(const http_answer &)> onAnswer)
+              std::function<void(const http_response &)> onAnswer)
     {
         target.isCalling = true;
         http_call call;
@@ -325,17 +326,17 @@
         call.body = writeJson(body);
         call.timeout = callTimeout;
         call.needsNewConnection = target.mayBeSilent;
-        client.send(
-            std::move(call),
-            [&target, onAnswer = std::move(onAnswer)](std::error_code error, http_answer &&answer) {
-                target.isCalling = false;
-                target.mayBeSilent = static_cast<bool>(error);
-                if (error || answer.status != 200) {
-                    ++target.gateway; // another one may do better
-                    return;
-                }
-                onAnswer(answer);
-            });
+        client.send(std::move(call),
+                    [&target, onAnswer = std::move(onAnswer)](std::error_code error,
+                                                              http_response &&answer) {
+                        target.isCalling = false;
+                        target.mayBeSilent = static_cast<bool>(error);
+                        if (error || answer.status != 200) {
+                            ++target.gateway; // another one may do better
+                            return;
+                        }
+                        onAnswer(answer);
+                    });
     }
 
     void announce(stand_in &target)
@@ -354,7 +355,7 @@
         for (const auto &service : splitList(FLAGS_services)) {
             body.add_services(service);
         }
-        post(target, "announce", body, [this, &target](const http_answer &) {
+        post(target, "announce", body, [this, &target](const http_response &) {
             target.isAnnounced = true;
             loop.post([this, &target] { sendBeat(target); });
         });
@@ -380,7 +381,7 @@
         for (const auto &[placement, report] : target.finished) {
             *body.add_finished() = report;
         }
-        post(target, "heartbeat", body, [this, &target](const http_answer &answer) {
+        post(target, "heartbeat", body, [this, &target](const http_response &answer) {
             messages::heartbeat_reply reply;
             std::string detail;
             if (!readJson(answer.body, &reply, &detail)) {
@@ -395,7 +396,7 @@
             target.isAnnounced = false;
             return;
         }
-        target.leaseUntil = std::max(target.leaseUntil, time_point {reply.lease_until()});
+        target.leaseExpiresAt = std::max(target.leaseExpiresAt, time_point {reply.lease_until()});
         target.isDrained = reply.drained();
         for (const auto placement : reply.acknowledged()) {
             target.finished.erase(placement);
@@ -428,8 +429,8 @@
     settings_check check {readSettings(&argc, &argv, "Targets for trials and tests.")};
     startLog(argv[0]);
     check.requireEndpoint("listen", FLAGS_listen);
-    if (!check.isAllRight()) {
-        return exitWrongSettings;
+    if (!check.isValid()) {
+        return exitInvalidSettings;
     }
     event_loop loop;
     stand_in_targets targets {loop};
@@ -438,7 +439,7 @@
     server = std::make_unique<http_server>(
         loop, address, port, http_limits {},
         tls_files {FLAGS_tls_certificate, FLAGS_tls_private_key},
-        [&](http_request &&request) { targets.takeRequest(*server, std::move(request)); },
+        [&](http_request &&request) { targets.handleRequest(*server, std::move(request)); },
         std::vector<std::string> {"filbert-target", "filbert-service", "filbert-placement",
                                   "filbert-epoch", "filbert-start-by"});
     loop.onStopSignal([&](int count) {
@@ -447,7 +448,7 @@
             return;
         }
         targets.leave();
-        loop.every(stopCheckPeriod, [&] {
+        loop.callEvery(stopCheckPeriod, [&] {
             if (targets.mayStop()) {
                 loop.stop();
             } else {
--- a/extras/state_bench.cpp
+++ b/extras/state_bench.cpp
@@ -58,10 +58,10 @@
     service->set_queue("quotes");
     messages::command command;
     auto *change = command.mutable_configuration();
-    const auto parts = partsOf(whole);
-    const auto items = differenceOf({}, parts);
+    const auto parts = itemsOf(whole);
+    const auto items = changesBetween({}, parts);
     change->mutable_items()->Assign(items.begin(), items.end());
-    change->set_digest(digestOf(parts));
+    change->set_digest(digestOfItems(parts));
     return command;
 }
 
@@ -149,7 +149,7 @@
     int parts = 1;
     for (bool isWhole = false; !isWhole; ++parts) {
         start = steady::now();
-        isWhole = readSnapshotPart(cell, FLAGS_part_records, &data);
+        isWhole = readSnapshotChunk(cell, FLAGS_part_records, &data);
         longest = std::max(longest, millisecondsSince(start));
     }
     cell_state restored;
--- a/modules/filbert_cell/cell_snapshot.cpp
+++ b/modules/filbert_cell/cell_snapshot.cpp
@@ -15,7 +15,7 @@
     to->set_target(from.target);
     to->set_team(from.team);
     to->set_service(from.service);
-    to->set_idempotency_key(from.idempotencyKey);
+    to->set_idempotency_key(from.idempotencyRecordKey);
     *to->mutable_task() = messageOf(from.need);
     to->set_task_index(from.taskIndex);
     to->set_idempotent(from.isIdempotent);
@@ -65,12 +65,13 @@
 {
     for (const auto &record : snapshot.idempotency()) {
         // Before records had numbers, their order in the snapshot was their age.
-        const auto number = record.number() != 0 ? record.number() : state->idempotency.size() + 1;
-        state->idempotency.add(number, record).set_number(number);
+        const auto number =
+            record.number() != 0 ? record.number() : state->idempotencyRecords.size() + 1;
+        state->idempotencyRecords.add(number, record).set_number(number);
         state->idempotencyNumbers[record.key()] = number;
     }
-    state->lastIdempotencyNumber =
-        std::max<std::uint64_t>(snapshot.last_idempotency_number(), state->idempotency.size());
+    state->lastIdempotencyNumber = std::max<std::uint64_t>(snapshot.last_idempotency_number(),
+                                                           state->idempotencyRecords.size());
 }
 
 void readSums(cell_state *state)
@@ -89,7 +90,7 @@
 {
     state.placements.startReading();
     state.jobs.startReading();
-    state.idempotency.startReading();
+    state.idempotencyRecords.startReading();
     messages::cell_snapshot snapshot;
     snapshot.set_version(1);
     snapshot.set_configuration_version(state.configuration.version());
@@ -103,10 +104,10 @@
     for (const auto &[name, target] : state.targets) {
         *snapshot.add_targets() = target.registration;
     }
-    snapshot.mutable_ended_jobs()->Assign(state.endedJobs.begin(), state.endedJobs.end());
-    snapshot.mutable_ended_counts()->Assign(std::begin(state.counts.byState),
-                                            std::end(state.counts.byState));
-    snapshot.set_accepted(state.counts.accepted);
+    snapshot.mutable_ended_jobs()->Assign(state.endedJobIds.begin(), state.endedJobIds.end());
+    snapshot.mutable_ended_counts()->Assign(std::begin(state.taskCounts.byState),
+                                            std::end(state.taskCounts.byState));
+    snapshot.set_accepted(state.taskCounts.accepted);
     snapshot.set_next_job_id(state.nextJobId);
     snapshot.set_commands_applied(state.commandsApplied);
     snapshot.set_digest(state.digest);
@@ -114,25 +115,25 @@
     return snapshot.SerializeAsString();
 }
 
-bool readSnapshotPart(cell_state &state, std::size_t most, std::string *part)
+bool readSnapshotChunk(cell_state &state, std::size_t most, std::string *part)
 {
     messages::cell_snapshot snapshot;
     const bool isWhole = state.placements.readSome(most, [&](std::uint64_t, const auto &placement) {
         writePlacement(placement, snapshot.add_placements());
     }) && state.jobs.readSome(most, [&](std::uint64_t, const auto &job) {
         writeJob(job, snapshot.add_jobs());
-    }) && state.idempotency.readSome(most, [&](std::uint64_t, const auto &record) {
+    }) && state.idempotencyRecords.readSome(most, [&](std::uint64_t, const auto &record) {
         *snapshot.add_idempotency() = record;
     });
     snapshot.AppendToString(part);
     return isWhole;
 }
 
-std::string snapshotOf(cell_state state)
+std::string serializeCell(cell_state state)
 {
     constexpr std::size_t all = SIZE_MAX;
     auto data = startSnapshot(state);
-    readSnapshotPart(state, all, &data);
+    readSnapshotChunk(state, all, &data);
     return data;
 }
 
@@ -144,7 +145,7 @@
     }
     cell_state fresh;
     fresh.limits = state->limits;
-    fresh.configuration.applyItems(snapshot.items(), snapshot.configuration_version());
+    fresh.configuration.applyChanges(snapshot.items(), snapshot.configuration_version());
     fresh.deltas.assign(snapshot.deltas().begin(), snapshot.deltas().end());
     fresh.audit.assign(snapshot.audit().begin(), snapshot.audit().end());
     for (const auto &target : snapshot.targets()) {
@@ -156,16 +157,16 @@
     for (const auto &job : snapshot.jobs()) {
         fresh.jobs.add(job.submission().id(), readJob(job));
     }
-    fresh.endedJobs.assign(snapshot.ended_jobs().begin(), snapshot.ended_jobs().end());
+    fresh.endedJobIds.assign(snapshot.ended_jobs().begin(), snapshot.ended_jobs().end());
     readIdempotency(snapshot, &fresh);
     readSums(&fresh);
-    fresh.counts.accepted = snapshot.accepted();
+    fresh.taskCounts.accepted = snapshot.accepted();
     std::copy(snapshot.ended_counts().begin(), snapshot.ended_counts().end(),
-              std::begin(fresh.counts.byState));
+              std::begin(fresh.taskCounts.byState));
     fresh.nextJobId = snapshot.next_job_id();
     fresh.commandsApplied = snapshot.commands_applied();
     fresh.digest = snapshot.digest();
-    checkCell(fresh);
+    checkCellInvariants(fresh);
     *state = std::move(fresh);
     return {};
 }
--- a/modules/filbert_cell/cell_state.cpp
+++ b/modules/filbert_cell/cell_state.cpp
@@ -12,9 +12,9 @@
 
 void moveTask(cell_state &state, task_record &task, task_state next)
 {
-    --state.counts.byState[static_cast<int>(task.state)];
+    --state.taskCounts.byState[static_cast<int>(task.state)];
     task.state = next;
-    ++state.counts.byState[static_cast<int>(next)];
+    ++state.taskCounts.byState[static_cast<int>(next)];
 }
 
 void endJobIfDone(cell_state &state, job_record &job, std::int64_t wallMs)
@@ -24,10 +24,10 @@
     }
     job.endedMs = std::max<std::int64_t>(wallMs, 1);
     job.submission.clear_payload();
-    state.endedJobs.push_back(job.submission.id());
-    while (state.endedJobs.size() > state.limits.endedJobs) {
-        state.jobs.take(state.endedJobs.front());
-        state.endedJobs.pop_front();
+    state.endedJobIds.push_back(job.submission.id());
+    while (state.endedJobIds.size() > state.limits.maxEndedJobs) {
+        state.jobs.take(state.endedJobIds.front());
+        state.endedJobIds.pop_front();
     }
 }
 
@@ -36,7 +36,7 @@
 {
     const auto number = ++state.lastIdempotencyNumber;
     state.idempotencyNumbers[key] = number;
-    auto &record = state.idempotency.add(number, {});
+    auto &record = state.idempotencyRecords.add(number, {});
     record.set_key(key);
     record.set_wall_ms(wallMs);
     record.set_number(number);
@@ -45,18 +45,18 @@
 
 void dropIdempotency(cell_state &state, const std::string &key)
 {
-    state.idempotency.take(state.idempotencyNumbers.at(key));
+    state.idempotencyRecords.take(state.idempotencyNumbers.at(key));
     state.idempotencyNumbers.erase(key);
 }
 
 void ageIdempotency(cell_state &state, std::int64_t wallMs)
 {
-    while (!state.idempotency.empty()) {
-        const auto &[number, oldest] = *state.idempotency.begin();
-        if (oldest.wall_ms() + state.limits.idempotencyMs >= wallMs) {
+    while (!state.idempotencyRecords.empty()) {
+        const auto &[number, oldest] = *state.idempotencyRecords.begin();
+        if (oldest.wall_ms() + state.limits.idempotencyRetentionMs >= wallMs) {
             return;
         }
-        const auto record = state.idempotency.take(number);
+        const auto record = state.idempotencyRecords.take(number);
         state.idempotencyNumbers.erase(record.key());
         if (record.placement_id() == 0) {
             continue;
@@ -72,7 +72,7 @@
 
 bool isIdempotencyFull(const cell_state &state)
 {
-    return state.idempotency.size() >= state.limits.idempotencyRecords;
+    return state.idempotencyRecords.size() >= state.limits.maxIdempotencyRecords;
 }
 
 // ---- configuration --------------------------------------------------------------------------
@@ -90,7 +90,7 @@
 void addAudit(cell_state &state, messages::audit_record record)
 {
     state.audit.push_back(std::move(record));
-    if (state.audit.size() > state.limits.auditRecords) {
+    if (state.audit.size() > state.limits.maxAuditRecords) {
         state.audit.pop_front();
     }
 }
@@ -102,7 +102,7 @@
     if (const auto *earlier = findRequest(state, change.request_id())) {
         const bool isSame = earlier->digest() == change.digest();
         outcome.error = isSame ? error_kind::None : error_kind::KeyReused;
-        outcome.isRepeated = true;
+        outcome.isDuplicate = true;
         outcome.version = earlier->version();
         outcome.digest = earlier->digest();
         outcome.detail = earlier->summary();
@@ -133,7 +133,7 @@
         record.set_outcome("refused: " + outcome.detail);
     } else {
         const auto before = configuration.version();
-        configuration.applyItems(change.items(), before + 1);
+        configuration.applyChanges(change.items(), before + 1);
         FILBERT_INVARIANT(configuration.digest() == change.digest(),
                           "an accepted configuration is the one that was sent");
         FILBERT_INVARIANT(configuration.version() > before, "configuration versions only rise");
@@ -141,7 +141,7 @@
         delta.set_version(configuration.version());
         *delta.mutable_items() = change.items();
         state.deltas.push_back(std::move(delta));
-        if (state.deltas.size() > state.limits.deltas) {
+        if (state.deltas.size() > state.limits.maxDeltas) {
             state.deltas.pop_front();
         }
         record.set_outcome("accepted");
@@ -177,7 +177,7 @@
         moveTask(state, task, task_state::Cancelled);
     } else if (mayRunAgain && task.failures < maxTaskFailures) {
         moveTask(state, task, task_state::Waiting);
-        ended->isTaskWaitingAgain = true;
+        ended->isTaskRequeued = true;
         if (job.failedTargets.size() >= distinctTargetsToHold && job.holdReason.empty()) {
             job.holdReason = "failed on " + std::to_string(job.failedTargets.size())
                 + " different targets: " + ended->reason;
@@ -192,20 +192,20 @@
 void recordAnswer(cell_state &state, const placement_record &placement,
                   const messages::placement_end &end)
 {
-    const auto *known = findIdempotency(state, placement.idempotencyKey);
+    const auto *known = findIdempotencyRecord(state, placement.idempotencyRecordKey);
     if (known == nullptr) {
         return;
     }
     if (end.result() == messages::NOT_RUN) {
-        dropIdempotency(state, placement.idempotencyKey); // it did not run, so a resend may
+        dropIdempotency(state, placement.idempotencyRecordKey); // it did not run, so a resend may
         return;
     }
-    auto &record = state.idempotency.edit(known->number());
+    auto &record = state.idempotencyRecords.edit(known->number());
     FILBERT_INVARIANT(record.placement_id() == placement.id,
                       "an idempotency key has one placement at a time");
     record.set_placement_id(0);
     record.set_result(end.result());
-    const bool fits = end.body().size() <= state.limits.storedAnswerBytes;
+    const bool fits = end.body().size() <= state.limits.maxStoredAnswerBytes;
     if (end.result() != messages::UNKNOWN && fits) {
         record.set_status(end.status());
         record.set_content_type(end.content_type());
@@ -229,7 +229,7 @@
     target.placements.erase(placement.id);
     state.usedByTeam[placement.team] -= placement.need;
     FILBERT_INVARIANT(fitsWithin({}, target.used), "no target gives back more than it held");
-    if (!placement.idempotencyKey.empty()) {
+    if (!placement.idempotencyRecordKey.empty()) {
         recordAnswer(state, placement, end);
     }
     if (placement.jobId != 0) {
@@ -288,10 +288,10 @@
     apply_outcome outcome;
     const auto name = place.idempotency_key().empty()
         ? std::string {}
-        : idempotencyName(place.team(), "service/" + place.service(), place.idempotency_key());
-    if (const auto *known = findIdempotency(state, name)) {
-        outcome.stored = *known;
-        outcome.isRepeated = true;
+        : idempotencyRecordKey(place.team(), "service/" + place.service(), place.idempotency_key());
+    if (const auto *known = findIdempotencyRecord(state, name)) {
+        outcome.storedRecord = *known;
+        outcome.isDuplicate = true;
         outcome.error = known->request_digest() == place.request_digest()
             ? error_kind::OutcomeUnknown
             : error_kind::KeyReused;
@@ -400,11 +400,11 @@
     apply_outcome outcome;
     const auto name = submission.idempotency_key().empty()
         ? std::string {}
-        : idempotencyName(submission.team(), "queue/" + submission.queue(),
-                          submission.idempotency_key());
-    if (const auto *known = findIdempotency(state, name)) {
+        : idempotencyRecordKey(submission.team(), "queue/" + submission.queue(),
+                               submission.idempotency_key());
+    if (const auto *known = findIdempotencyRecord(state, name)) {
         outcome.jobId = known->job_id();
-        outcome.isRepeated = true;
+        outcome.isDuplicate = true;
         return outcome;
     }
     if (!name.empty() && isIdempotencyFull(state)) {
@@ -418,8 +418,8 @@
     job.submission.set_id(id);
     job.submittedMs = wallMs;
     job.tasks.resize(static_cast<std::size_t>(std::max(submission.tasks(), 1)));
-    state.counts.accepted += static_cast<std::int64_t>(job.tasks.size());
-    state.counts.byState[static_cast<int>(task_state::Waiting)] +=
+    state.taskCounts.accepted += static_cast<std::int64_t>(job.tasks.size());
+    state.taskCounts.byState[static_cast<int>(task_state::Waiting)] +=
         static_cast<std::int64_t>(job.tasks.size());
     if (!name.empty()) {
         addIdempotency(state, name, wallMs).set_job_id(id);
@@ -524,18 +524,20 @@
                             static_cast<std::uint64_t>(outcome.error),
                             state.placements.size(),
                             state.jobs.size(),
-                            state.idempotency.size(),
+                            state.idempotencyRecords.size(),
                             static_cast<std::uint64_t>(state.configuration.version()),
-                            state.counts.byState[static_cast<int>(task_state::Running)],
-                            state.counts.byState[static_cast<int>(task_state::Waiting)]};
+                            state.taskCounts.byState[static_cast<int>(task_state::Running)],
+                            state.taskCounts.byState[static_cast<int>(task_state::Waiting)]};
     state.digest = XXH64(&part, sizeof part, state.commandsApplied);
     return outcome;
 }
 
-const messages::idempotency_record *findIdempotency(const cell_state &state, const std::string &key)
+const messages::idempotency_record *findIdempotencyRecord(const cell_state &state,
+                                                          const std::string &key)
 {
     const auto found = state.idempotencyNumbers.find(key);
-    return found == state.idempotencyNumbers.end() ? nullptr : &state.idempotency.at(found->second);
+    return found == state.idempotencyNumbers.end() ? nullptr
+                                                   : &state.idempotencyRecords.at(found->second);
 }
 
 bool hasEnded(const job_record &job)
@@ -555,13 +557,13 @@
     return counts;
 }
 
-std::string idempotencyName(const std::string &team, const std::string &scope,
-                            const std::string &key)
+std::string idempotencyRecordKey(const std::string &team, const std::string &scope,
+                                 const std::string &key)
 {
     return team + "/" + scope + "/" + key;
 }
 
-void checkCell(const cell_state &state)
+void checkCellInvariants(const cell_state &state)
 {
     std::map<std::string, resource_amounts> byTarget;
     std::map<std::string, resource_amounts> byTeam;
@@ -584,11 +586,11 @@
         FILBERT_INVARIANT(used == byTeam[name], "a team's sum agrees");
     }
     std::int64_t sum = 0;
-    for (const auto count : state.counts.byState) {
+    for (const auto count : state.taskCounts.byState) {
         FILBERT_INVARIANT(count >= 0, "no count is negative");
         sum += count;
     }
-    FILBERT_INVARIANT(sum == state.counts.accepted, "every accepted task is counted once");
+    FILBERT_INVARIANT(sum == state.taskCounts.accepted, "every accepted task is counted once");
 }
 
 } // namespace filbert
--- a/modules/filbert_cell/cell_state.h
+++ b/modules/filbert_cell/cell_state.h
@@ -18,12 +18,12 @@
 /** Bounds on what the replicated state keeps. */
 struct retention_limits
 {
-    std::size_t idempotencyRecords = 1'000'000;
-    std::int64_t idempotencyMs = 24LL * 3'600 * 1'000;
-    std::size_t endedJobs = 20'000;
-    std::size_t auditRecords = 10'000;
-    std::size_t deltas = 512;
-    std::size_t storedAnswerBytes = 64 << 10;
+    std::size_t maxIdempotencyRecords = 1'000'000;
+    std::int64_t idempotencyRetentionMs = 24LL * 3'600 * 1'000;
+    std::size_t maxEndedJobs = 20'000;
+    std::size_t maxAuditRecords = 10'000;
+    std::size_t maxDeltas = 512;
+    std::size_t maxStoredAnswerBytes = 64 << 10;
 };
 
 enum class task_state { Waiting, Running, Succeeded, Failed, Cancelled, Unknown };
@@ -58,7 +58,7 @@
     std::string target;
     std::string team;
     std::string service;
-    std::string idempotencyKey; // full key of the record; empty = none
+    std::string idempotencyRecordKey; // full key of the record; empty = none
     resource_amounts need;
     std::int32_t taskIndex = 0;
     bool isIdempotent = false;
@@ -92,12 +92,12 @@
     std::map<std::string, target_record> targets;
     snapshot_map<std::uint64_t, placement_record> placements;
     snapshot_map<std::uint64_t, job_record> jobs;
-    snapshot_map<std::uint64_t, messages::idempotency_record> idempotency; // by age
+    snapshot_map<std::uint64_t, messages::idempotency_record> idempotencyRecords; // by age
     std::unordered_map<std::string, std::uint64_t> idempotencyNumbers; // by the record's key
     std::uint64_t lastIdempotencyNumber = 0;
-    std::deque<std::uint64_t> endedJobs;
+    std::deque<std::uint64_t> endedJobIds;
     std::unordered_map<std::string, resource_amounts> usedByTeam;
-    task_counts counts;
+    task_counts taskCounts;
     std::uint64_t nextJobId = 1;
     std::uint64_t commandsApplied = 0;
     std::uint64_t digest = 0;
@@ -108,7 +108,7 @@
 {
     placement_record placement;
     messages::task_result result = messages::NOT_RUN;
-    bool isTaskWaitingAgain = false;
+    bool isTaskRequeued = false;
     std::string reason;
 };
 
@@ -118,8 +118,8 @@
     error_kind error = error_kind::None;
     std::string detail;
     std::uint64_t jobId = 0;
-    bool isRepeated = false; // the answer of an earlier, equal request
-    messages::idempotency_record stored;
+    bool isDuplicate = false; // the answer of an earlier, equal request
+    messages::idempotency_record storedRecord;
     std::int64_t version = 0;
     std::string digest;
     std::vector<ended_placement> ended;
@@ -135,15 +135,15 @@
 apply_outcome applyCommand(cell_state &state, const messages::command &command,
                            std::int64_t wallMs);
 
-/** @param key full name of it, see idempotencyName() @return the record, or nullptr */
-const messages::idempotency_record *findIdempotency(const cell_state &state,
-                                                    const std::string &key);
+/** @param key full name of it, see idempotencyRecordKey() @return the record, or nullptr */
+const messages::idempotency_record *findIdempotencyRecord(const cell_state &state,
+                                                          const std::string &key);
 
 /** Starts a snapshot of the present moment; commands may go on.
 
     @param state  of this member; one snapshot at a time, an unfinished one is given up
     @return the first part: configuration, audit trail, targets and counts
-    @see readSnapshotPart
+    @see readSnapshotChunk
 */
 std::string startSnapshot(cell_state &state);
 
@@ -155,10 +155,10 @@
     @param part   to append to
     @return whether that was the last part
 */
-bool readSnapshotPart(cell_state &state, std::size_t most, std::string *part);
+bool readSnapshotChunk(cell_state &state, std::size_t most, std::string *part);
 
 /** @return the whole state at once, to be read back by restoreCell(); for tests and trials */
-std::string snapshotOf(cell_state state);
+std::string serializeCell(cell_state state);
 
 /** @param data all parts of a snapshot @param state replaced @return StorageDamaged if it cannot be
  * read */
@@ -171,10 +171,10 @@
 task_counts countTasks(const job_record &job);
 
 /** The full name of an idempotency record. @param scope "service/NAME" or "queue/NAME" */
-std::string idempotencyName(const std::string &team, const std::string &scope,
-                            const std::string &key);
+std::string idempotencyRecordKey(const std::string &team, const std::string &scope,
+                                 const std::string &key);
 
 /** Checks that all sums agree with each other; costly, for tests and after a restore. */
-void checkCell(const cell_state &state);
+void checkCellInvariants(const cell_state &state);
 
 } // namespace filbert
--- a/modules/filbert_cell/tests/cell_state_test.cpp
+++ b/modules/filbert_cell/tests/cell_state_test.cpp
@@ -10,20 +10,20 @@
 cell_state smallCell()
 {
     cell_state state;
-    state.limits.idempotencyRecords = 8;
-    state.limits.idempotencyMs = 1'000;
-    state.limits.endedJobs = 5;
+    state.limits.maxIdempotencyRecords = 8;
+    state.limits.idempotencyRetentionMs = 1'000;
+    state.limits.maxEndedJobs = 5;
     messages::configuration whole;
     whole.set_cell("c");
     auto *team = whole.add_teams();
     team->set_name("orders");
     team->set_share(1);
     team->mutable_upper_limit()->set_slots(3);
-    const auto items = differenceOf({}, partsOf(whole));
+    const auto items = changesBetween({}, itemsOf(whole));
     messages::command command;
     auto *change = command.mutable_configuration();
     change->mutable_items()->Assign(items.begin(), items.end());
-    change->set_digest(digestOf(partsOf(whole)));
+    change->set_digest(digestOfItems(itemsOf(whole)));
     change->set_request_id("first");
     REQUIRE(applyCommand(state, command, 1).error == error_kind::None);
     for (const char *name : {"t1", "t2"}) {
@@ -116,12 +116,12 @@
             const auto command = randomCommand(static_cast<std::uint64_t>(i));
             const auto wallMs = 10 + i * 20;
             applyCommand(state, command, wallMs);
-            checkCell(state);
+            checkCellInvariants(state);
             applyCommand(copy, command, wallMs);
             if (i % 10 == 0) { // a member that was restored goes on exactly like the others
-                const auto data = snapshotOf(copy);
+                const auto data = serializeCell(copy);
                 RC_ASSERT(!restoreCell(data, &copy));
-                RC_ASSERT(snapshotOf(copy) == snapshotOf(state));
+                RC_ASSERT(serializeCell(copy) == serializeCell(state));
             }
             RC_ASSERT(copy.digest == state.digest);
         }
@@ -139,18 +139,18 @@
         for (const int before = *rc::gen::inRange(1, 60); number < before;) {
             change(++number);
         }
-        const auto expected = snapshotOf(state);
+        const auto expected = serializeCell(state);
         auto data = startSnapshot(state);
         const auto most = static_cast<std::size_t>(*rc::gen::inRange(1, 4));
-        while (!readSnapshotPart(state, most, &data)) {
+        while (!readSnapshotChunk(state, most, &data)) {
             for (int more = *rc::gen::inRange(0, 6); more > 0; --more) {
                 change(++number);
             }
         }
         cell_state restored;
         RC_ASSERT(!restoreCell(data, &restored));
-        RC_ASSERT(snapshotOf(restored) == expected);
-        RC_ASSERT(readSnapshotPart(state, most, &data)); // it has ended
+        RC_ASSERT(serializeCell(restored) == expected);
+        RC_ASSERT(readSnapshotChunk(state, most, &data)); // it has ended
     });
 }
 
@@ -164,8 +164,8 @@
     CHECK(applyCommand(state, other, 12).error == error_kind::KeyReused);
     applyCommand(state, endCommand(1, messages::SUCCEEDED), 13);
     const auto again = applyCommand(state, placeCommand(4, "k"), 14);
-    CHECK(again.isRepeated);
-    CHECK(again.stored.body() == "answer");
+    CHECK(again.isDuplicate);
+    CHECK(again.storedRecord.body() == "answer");
 
     applyCommand(state, placeCommand(5, "n"), 15);
     applyCommand(state, endCommand(5, messages::NOT_RUN), 16);
@@ -211,7 +211,7 @@
     }
     CHECK(applyCommand(state, gang, 2).error == error_kind::NoCapacity);
     CHECK(state.placements.empty());
-    checkCell(state);
+    checkCellInvariants(state);
     gang.mutable_place_gang()->mutable_placements(2)->set_target("t2");
     CHECK(applyCommand(state, gang, 3).error == error_kind::None);
     CHECK(state.placements.size() == 3);
--- a/modules/filbert_configuration/access_keys.cpp
+++ b/modules/filbert_configuration/access_keys.cpp
@@ -55,14 +55,14 @@
     return hash;
 }
 
-made_key makeKey(const std::string &id)
+generated_key generateKey(const std::string &id)
 {
-    made_key made;
+    generated_key made;
     const auto secret = randomHex(secretBytes);
     made.token = id + "." + secret;
-    made.stored.set_id(id);
-    made.stored.set_salt(randomHex(saltBytes));
-    made.stored.set_hash(hashOf(secret, made.stored.salt()));
+    made.storedKey.set_id(id);
+    made.storedKey.set_salt(randomHex(saltBytes));
+    made.storedKey.set_hash(hashOf(secret, made.storedKey.salt()));
     return made;
 }
 
@@ -77,7 +77,7 @@
     return dot == std::string_view::npos ? std::string_view {} : token.substr(dot + 1);
 }
 
-bool isSecretOf(std::string_view secret, const messages::access_key &key)
+bool isSecretValid(std::string_view secret, const messages::access_key &key)
 {
     const auto hash = hashOf(secret, key.salt());
     return hash.size() == key.hash().size()
--- a/modules/filbert_configuration/access_keys.h
+++ b/modules/filbert_configuration/access_keys.h
@@ -8,17 +8,17 @@
 namespace filbert {
 
 /** A new key: the token for its holder, and the record for the configuration. */
-struct made_key
+struct generated_key
 {
     std::string token; // "ID.SECRET"; shown once, since only its hash is stored
-    messages::access_key stored;
+    messages::access_key storedKey;
 };
 
 /** Generates a random key. @param id names the key; must not contain a dot */
-made_key makeKey(const std::string &id);
+generated_key generateKey(const std::string &id);
 
 /** Compares the hash of a secret with a stored one, in constant time. @return whether they match */
-bool isSecretOf(std::string_view secret, const messages::access_key &key);
+bool isSecretValid(std::string_view secret, const messages::access_key &key);
 
 /** @param token "ID.SECRET" @return the id: what precedes the first dot */
 std::string_view keyIdOf(std::string_view token);
--- a/modules/filbert_configuration/cell_configuration.cpp
+++ b/modules/filbert_configuration/cell_configuration.cpp
@@ -101,7 +101,7 @@
 std::error_code cell_configuration::authenticate(std::string_view token, key_owner *owner) const
 {
     const auto found = keysById.find(std::string {keyIdOf(token)});
-    if (found == keysById.end() || !isSecretOf(secretOf(token), found->second.key)) {
+    if (found == keysById.end() || !isSecretValid(secretOf(token), found->second.key)) {
         return error_kind::Unauthorized;
     }
     *owner = found->second.owner;
@@ -115,7 +115,7 @@
         && found->second.owner.name == team;
 }
 
-void cell_configuration::applyItems(
+void cell_configuration::applyChanges(
     const google::protobuf::RepeatedPtrField<messages::configuration_item> &items,
     std::int64_t version)
 {
@@ -126,7 +126,7 @@
         }
     }
     currentVersion = version;
-    currentDigest = digestOf(parts);
+    currentDigest = digestOfItems(parts);
 }
 
 void cell_configuration::clear()
@@ -217,7 +217,7 @@
     return whole;
 }
 
-std::map<std::string, std::string> partsOf(const messages::configuration &whole)
+std::map<std::string, std::string> itemsOf(const messages::configuration &whole)
 {
     std::map<std::string, std::string> parts;
     const auto addAll = [&](std::string_view prefix, const auto &list) {
@@ -234,8 +234,8 @@
 }
 
 std::vector<messages::configuration_item>
-differenceOf(const std::map<std::string, std::string> &from,
-             const std::map<std::string, std::string> &to)
+changesBetween(const std::map<std::string, std::string> &from,
+               const std::map<std::string, std::string> &to)
 {
     std::vector<messages::configuration_item> items;
     for (const auto &[key, value] : to) {
@@ -256,7 +256,7 @@
     return items;
 }
 
-std::string digestOf(const std::map<std::string, std::string> &parts)
+std::string digestOfItems(const std::map<std::string, std::string> &parts)
 {
     std::string all;
     for (const auto &[key, value] : parts) {
@@ -267,7 +267,7 @@
     return toHex(contentDigest(all));
 }
 
-std::string summaryOf(const std::vector<messages::configuration_item> &items)
+std::string summarizeChanges(const std::vector<messages::configuration_item> &items)
 {
     const auto describe = [&](bool removed) {
         std::string names;
--- a/modules/filbert_configuration/cell_configuration.h
+++ b/modules/filbert_configuration/cell_configuration.h
@@ -52,7 +52,7 @@
 
     /** @return whether the configuration names an operator; until it does, the bootstrap key from
         the settings is accepted */
-    bool hasOperator() const { return operatorCount > 0; }
+    bool hasOperators() const { return operatorCount > 0; }
 
     /** Authenticates a token; its secret is compared in constant time.
 
@@ -70,8 +70,8 @@
         @param items    items that are new, changed or removed
         @param version  version of the configuration after the change
     */
-    void applyItems(const google::protobuf::RepeatedPtrField<messages::configuration_item> &items,
-                    std::int64_t version);
+    void applyChanges(const google::protobuf::RepeatedPtrField<messages::configuration_item> &items,
+                      std::int64_t version);
 
     /** Resets to an empty configuration. */
     void clear();
@@ -105,19 +105,19 @@
 };
 
 /** Splits a configuration into its items, serialized messages by key. */
-std::map<std::string, std::string> partsOf(const messages::configuration &whole);
+std::map<std::string, std::string> itemsOf(const messages::configuration &whole);
 
 /** @return the items to set and to remove to get from one set of items to another */
 std::vector<messages::configuration_item>
-differenceOf(const std::map<std::string, std::string> &from,
-             const std::map<std::string, std::string> &to);
+changesBetween(const std::map<std::string, std::string> &from,
+               const std::map<std::string, std::string> &to);
 
 /** @return a digest of a set of items, in hexadecimal; equal sets have equal digests */
-std::string digestOf(const std::map<std::string, std::string> &parts);
+std::string digestOfItems(const std::map<std::string, std::string> &parts);
 
 /** Describes a change for the audit log, e.g. "2 set (team/orders, queue/quotes), 0 removed". At
    most 8 keys of either kind are named. */
-std::string summaryOf(const std::vector<messages::configuration_item> &items);
+std::string summarizeChanges(const std::vector<messages::configuration_item> &items);
 
 /** Validates a configuration that has been read: values out of range, missing or duplicate names,
    and references to names that do not exist.
--- a/modules/filbert_configuration/tests/configuration_reader_test.cpp
+++ b/modules/filbert_configuration/tests/configuration_reader_test.cpp
@@ -79,7 +79,7 @@
     checkProperty([](const std::map<std::string, std::string> &from,
                      const std::map<std::string, std::string> &to) {
         auto parts = from;
-        for (const auto &item : differenceOf(from, to)) {
+        for (const auto &item : changesBetween(from, to)) {
             if (item.removed()) {
                 parts.erase(item.key());
             } else {
@@ -87,32 +87,32 @@
             }
         }
         RC_ASSERT(parts == to);
-        RC_ASSERT((digestOf(from) == digestOf(to)) == (from == to));
+        RC_ASSERT((digestOfItems(from) == digestOfItems(to)) == (from == to));
     });
 }
 
 TEST_CASE("a key is accepted only with its own secret and until it is revoked")
 {
-    const auto made = makeKey("desk");
+    const auto made = generateKey("desk");
     messages::configuration whole;
     std::vector<configuration_problem> problems;
     readConfigurationText("cell.yaml", small, &whole, &problems);
-    *whole.mutable_teams(0)->add_keys() = made.stored;
+    *whole.mutable_teams(0)->add_keys() = made.storedKey;
     cell_configuration configuration;
     google::protobuf::RepeatedPtrField<messages::configuration_item> items;
-    const auto added = differenceOf({}, partsOf(whole));
+    const auto added = changesBetween({}, itemsOf(whole));
     items.Assign(added.begin(), added.end());
-    configuration.applyItems(items, 1);
+    configuration.applyChanges(items, 1);
     key_owner owner;
     CHECK_FALSE(configuration.authenticate(made.token, &owner));
     CHECK(owner.name == "orders");
     CHECK(configuration.authenticate("desk.0000", &owner));
     CHECK(configuration.authenticate("desk", &owner));
-    CHECK(made.stored.hash().find(secretOf(made.token)) == std::string::npos);
+    CHECK(made.storedKey.hash().find(secretOf(made.token)) == std::string::npos);
 
     whole.mutable_teams(0)->clear_keys();
-    const auto withdrawn = differenceOf(configuration.items(), partsOf(whole));
+    const auto withdrawn = changesBetween(configuration.items(), itemsOf(whole));
     items.Assign(withdrawn.begin(), withdrawn.end());
-    configuration.applyItems(items, 2);
+    configuration.applyChanges(items, 2);
     CHECK(configuration.authenticate(made.token, &owner) == error_kind::Unauthorized);
 }
--- a/modules/filbert_controller/commit_effects.cpp
+++ b/modules/filbert_controller/commit_effects.cpp
@@ -23,18 +23,18 @@
         .with("author", change.author())
         .with("version", outcome.version)
         .with("digest", outcome.digest)
-        .with("outcome", errorRow(outcome.error).name)
+        .with("outcome", errorInfo(outcome.error).name)
         .with("summary", change.summary());
     if (outcome.error != error_kind::None) {
         refuse(state, to, outcome.error, outcome.detail);
         return;
     }
-    takeConfiguration(state);
+    configureScheduler(state);
     messages::envelope envelope;
     auto *answer = envelope.mutable_applied();
     answer->set_version(outcome.version);
     answer->set_digest(outcome.digest);
-    answer->set_summary(outcome.isRepeated ? outcome.detail : change.summary());
+    answer->set_summary(outcome.isDuplicate ? outcome.detail : change.summary());
     reply(state, to, std::move(envelope));
 }
 
@@ -51,13 +51,13 @@
         live.clockMs == 0 || live.isRemovalProposed || live.epoch != registration.epoch();
     if (isNewStart) {
         // Nothing starts there before its first heartbeat, which reports its clock and its tasks.
-        forgetUnreachable(state.scheduler, registration.name());
+        clearUnreachable(state.scheduler, registration.name());
         live = {};
         live.epoch = registration.epoch();
         live.gateway = to.gateway;
-        live.leaseEnds = now + clockRateMargin(state.settings.targetLease);
+        live.leaseExpiresAt = now + withClockRateMargin(state.settings.targetLease);
     }
-    setTarget(state.scheduler, viewOf(target), live.isHeard && !live.isLeaving);
+    updateTarget(state.scheduler, targetEntryOf(target), live.hasHeartbeat && !live.isLeaving);
     log_line {"target_announced"}
         .with("target", registration.name())
         .with("epoch", registration.epoch())
@@ -87,7 +87,7 @@
 }
 
 void answerDispatch(controller_state &state, const messages::placement &place,
-                    const apply_outcome &outcome, const open_dispatch &open)
+                    const apply_outcome &outcome, const pending_dispatch &open)
 {
     if (outcome.error != error_kind::None) {
         refuse(state, open.replyTo, outcome.error, outcome.detail);
@@ -114,13 +114,13 @@
         found != state.dispatchOfPlacement.end()) {
         const auto open = state.dispatches.extract(found->second).mapped();
         state.dispatchOfPlacement.erase(found);
-        const bool mayWaitOn = outcome.error == error_kind::NoCapacity && now < open.giveUpAt;
+        const bool mayWaitOn = outcome.error == error_kind::NoCapacity && now < open.deadline;
         if (mayWaitOn) {
             // The target changed between the decision and its commit. Another target may have free
             // capacity.
             auto again = open.request;
-            again.set_wait_ms((open.giveUpAt - now).count);
-            takeDispatch(state, open.replyTo, again, now);
+            again.set_wait_ms((open.deadline - now).count);
+            handleDispatch(state, open.replyTo, again, now);
         } else {
             answerDispatch(state, place, outcome, open);
         }
@@ -132,7 +132,7 @@
     }
     const auto job = state.cell.jobs.find(place.job_id());
     if (outcome.error != error_kind::Conflict && job != state.cell.jobs.end()) {
-        returnTask(state.scheduler, workOf(state, job->second), place.task_index(), now);
+        requeueTask(state.scheduler, workItemOf(state, job->second), place.task_index(), now);
     }
 }
 
@@ -165,11 +165,12 @@
         if (placement.jobId == 0 && to.exchange == 0) {
             noticeGateways(state, ended);
         }
-        state.ending.erase(placement.id);
+        state.proposedEnds.erase(placement.id);
         state.stopping.erase(placement.id);
-        state.throttled.erase(placement.id);
+        state.throttledSince.erase(placement.id);
         if (ended.result == messages::SUCCEEDED || ended.result == messages::FAILED) {
-            noteResult(state.scheduler, placement.id, ended.result == messages::SUCCEEDED, now);
+            recordTaskResult(state.scheduler, placement.id, ended.result == messages::SUCCEEDED,
+                             now);
         }
         releaseTask(state.scheduler, placement.id, now);
         const auto job = state.cell.jobs.find(placement.jobId);
@@ -177,12 +178,13 @@
             continue;
         }
         if (!job->second.holdReason.empty()) {
-            dropWork(state.scheduler, placement.jobId);
-        } else if (ended.isTaskWaitingAgain) {
-            auto item = workOf(state, job->second);
+            removeWork(state.scheduler, placement.jobId);
+        } else if (ended.isTaskRequeued) {
+            auto item = workItemOf(state, job->second);
             item.failures = ended.result == messages::FAILED ? 1 : 0;
-            item.avoid = {job->second.failedTargets.begin(), job->second.failedTargets.end()};
-            returnTask(state.scheduler, std::move(item), placement.taskIndex, now);
+            item.excludedTargets = {job->second.failedTargets.begin(),
+                                    job->second.failedTargets.end()};
+            requeueTask(state.scheduler, std::move(item), placement.taskIndex, now);
         }
         regroupGang(state, job->second);
     }
@@ -193,7 +195,7 @@
     const auto &job = state.cell.jobs.at(id);
     for (std::size_t i = 0; i < job.tasks.size(); ++i) {
         if (job.tasks[i].state == task_state::Waiting) {
-            returnTask(state.scheduler, workOf(state, job), static_cast<std::int32_t>(i), now);
+            requeueTask(state.scheduler, workItemOf(state, job), static_cast<std::int32_t>(i), now);
         }
     }
 }
@@ -202,7 +204,7 @@
 {
     messages::envelope envelope;
     auto *answer = envelope.mutable_job();
-    answer->set_created(!outcome.isRepeated);
+    answer->set_created(!outcome.isDuplicate);
     answer->mutable_job()->set_id(outcome.jobId);
     const auto job = state.cell.jobs.find(outcome.jobId);
     if (job != state.cell.jobs.end()) {
@@ -219,7 +221,7 @@
         refuse(state, to, outcome.error, outcome.detail);
         return;
     }
-    if (!outcome.isRepeated) {
+    if (!outcome.isDuplicate) {
         requeueJob(state, outcome.jobId, now);
     }
     answerJob(state, outcome, to);
@@ -232,15 +234,15 @@
         refuse(state, to, outcome.error, outcome.detail);
         return;
     }
-    dropWork(state.scheduler, change.id());
+    removeWork(state.scheduler, change.id());
     if (change.action() == messages::RELEASE) {
         requeueJob(state, change.id(), now);
     }
     answerJob(state, outcome, to);
 }
 
-void afterCommand(controller_state &state, const messages::command &command,
-                  const apply_outcome &outcome, const reply_address &to, time_point now)
+void handleCommittedCommand(controller_state &state, const messages::command &command,
+                            const apply_outcome &outcome, const reply_address &to, time_point now)
 {
     using body = messages::command::BodyCase;
     switch (command.body_case()) {
@@ -263,13 +265,13 @@
         afterJobChange(state, command.change(), outcome, to, now);
         break;
     case body::kEnd:
-        state.ending.erase(command.end().placement_id());
+        state.proposedEnds.erase(command.end().placement_id());
         afterEnds(state, outcome, to, now);
         answerDone(state, to);
         break;
     case body::kRemoveTarget:
         afterEnds(state, outcome, to, now);
-        dropTarget(state.scheduler, command.remove_target());
+        unregisterTarget(state.scheduler, command.remove_target());
         state.liveness.erase(command.remove_target());
         break;
     case body::kNote:
@@ -298,8 +300,8 @@
     for (int i = 0; i < batch.commands_size(); ++i) {
         const auto outcome = applyCommand(state.cell, batch.commands(i), batch.wall_ms());
         if (state.isLeading) {
-            afterCommand(state, batch.commands(i), outcome, replies[static_cast<std::size_t>(i)],
-                         now);
+            handleCommittedCommand(state, batch.commands(i), outcome,
+                                   replies[static_cast<std::size_t>(i)], now);
         }
     }
 }
--- a/modules/filbert_controller/controller.cpp
+++ b/modules/filbert_controller/controller.cpp
@@ -36,23 +36,23 @@
     }
 }
 
-void controller::takeMessage(const std::string &peer, const messages::envelope &envelope,
-                             time_point now)
+void controller::handleMessage(const std::string &peer, const messages::envelope &envelope,
+                               time_point now)
 {
     if (!needsLeader(envelope)) {
-        stepMessage(state.log, envelope.replication(), now, &state.effects);
+        handleReplicationMessage(state.log, envelope.replication(), now, &state.effects);
         return;
     }
     const reply_address from {peer, envelope.exchange()};
     if (!state.isLeading || state.isStopping || !hasLease(state.log, now)) {
-        turnAway(state, from);
+        redirectToLeader(state, from);
         return;
     }
-    takeRequest(from, envelope, now);
+    handleRequest(from, envelope, now);
 }
 
-void controller::takeRequest(const reply_address &from, const messages::envelope &envelope,
-                             time_point now)
+void controller::handleRequest(const reply_address &from, const messages::envelope &envelope,
+                               time_point now)
 {
     using body = messages::envelope::BodyCase;
     const bool addsWork = envelope.body_case() == body::kDispatch
@@ -63,37 +63,37 @@
     }
     switch (envelope.body_case()) {
     case body::kHello:
-        takeHello(state, from, envelope.hello(), now);
+        handleHello(state, from, envelope.hello(), now);
         break;
     case body::kDispatch:
-        takeDispatch(state, from, envelope.dispatch(), now);
+        handleDispatch(state, from, envelope.dispatch(), now);
         break;
     case body::kEnd:
-        takeEnd(state, from, envelope.end(), now);
+        handleEnd(state, from, envelope.end(), now);
         break;
     case body::kAnnounce:
-        takeAnnouncement(state, from, envelope.announce());
+        handleAnnouncement(state, from, envelope.announce());
         break;
     case body::kHeartbeat:
-        takeHeartbeat(state, from, envelope.heartbeat(), now);
+        handleHeartbeat(state, from, envelope.heartbeat(), now);
         break;
     case body::kSubmit:
-        takeSubmission(state, from, envelope.submit());
+        handleSubmission(state, from, envelope.submit());
         break;
     case body::kChange:
-        takeJobChange(state, from, envelope.change());
+        handleJobChange(state, from, envelope.change());
         break;
     case body::kQuery:
-        takeJobQuery(state, from, envelope.query(), now);
+        handleJobQuery(state, from, envelope.query(), now);
         break;
     case body::kApply:
-        takeApply(state, from, envelope.apply());
+        handleApply(state, from, envelope.apply());
         break;
     case body::kStatus:
-        takeStatus(state, from, envelope.status(), now);
+        handleStatusRequest(state, from, envelope.status(), now);
         break;
     case body::kMember:
-        takeMemberChange(state, from, envelope.member(), now);
+        handleMemberChange(state, from, envelope.member(), now);
         break;
     default:
         refuse(state, from, error_kind::Malformed,
@@ -101,18 +101,18 @@
     }
 }
 
-void controller::takeTime(time_point now)
+void controller::tick(time_point now)
 {
-    stepTime(state.log, now, &state.effects);
+    tickLog(state.log, now, &state.effects);
     if (state.isStopping) {
-        turnWaitingAway(state);
+        redirectWaitingRequests(state);
     }
-    if (state.isStopping && isQuiet() && !state.log.handOverUntil) {
-        handOver(state.log, now, &state.effects);
+    if (state.isStopping && isQuiet() && !state.log.transferDeadline) {
+        startLeadershipTransfer(state.log, now, &state.effects);
     }
     if (state.isLeading && hasLease(state.log, now)) {
         expireTargets(state, now);
-        reviewQuarantines(state.scheduler, now);
+        endExpiredQuarantines(state.scheduler, now);
     }
 }
 
@@ -123,9 +123,10 @@
     }
     // Every entry of the log must be applied first, or the leader's state would lack placements
     // that are proposed but not committed yet.
-    const bool isSettled = isReadyLeader(state.log) && state.log.applied == lastIndex(state.log)
-        && state.effects.committed.empty() && !state.effects.mustInstall;
-    if (!state.isLeading && isSettled && !state.isStopping) {
+    const bool hasAppliedAll = isReadyLeader(state.log)
+        && state.log.appliedIndex == lastIndex(state.log) && state.effects.entriesToApply.empty()
+        && !state.effects.mustInstall;
+    if (!state.isLeading && hasAppliedAll && !state.isStopping) {
         startLeading(state, now);
     }
 }
@@ -151,7 +152,7 @@
             // The batch was neither queued nor sent, but the scheduler holds reservations for it:
             // start over.
             for (const auto &to : replies) {
-                turnAway(state, to);
+                redirectToLeader(state, to);
             }
             stopLeading(state);
             return;
@@ -164,7 +165,7 @@
 void controller::sendAll(std::vector<messages::replication_message> *messages)
 {
     for (const auto &message : std::exchange(*messages, {})) {
-        outbox.sendToMember(addresseeOf(state.log, message), message);
+        outbox.sendToMember(recipientOf(state.log, message), message);
     }
 }
 
@@ -178,7 +179,7 @@
 
 void controller::applyCommitted(time_point now)
 {
-    for (const auto &entry : std::exchange(state.effects.committed, {})) {
+    for (const auto &entry : std::exchange(state.effects.entriesToApply, {})) {
         applyEntry(state, entry, now);
         state.log.digestIndex = entry.index();
         state.log.digest = state.cell.digest;
@@ -188,24 +189,24 @@
 std::error_code controller::startSnapshot()
 {
     snapshot.emplace();
-    snapshot->index = state.log.applied;
-    const auto records =
-        state.cell.placements.size() + state.cell.jobs.size() + state.cell.idempotency.size();
+    snapshot->index = state.log.appliedIndex;
+    const auto records = state.cell.placements.size() + state.cell.jobs.size()
+        + state.cell.idempotencyRecords.size();
     // Growth would copy all of it in one turn.
     snapshot->data.reserve(records * expectedRecordBytes);
     if (const auto error = store.startSnapshot(snapshotHeaderAt(state.log, snapshot->index))) {
         return error;
     }
     snapshot->data += filbert::startSnapshot(state.cell);
-    return store.addSnapshotPart(snapshot->data);
+    return store.addSnapshotChunk(snapshot->data);
 }
 
 std::error_code controller::continueSnapshot()
 {
     std::string part;
-    const bool isLast = readSnapshotPart(state.cell, state.settings.snapshotPartRecords, &part);
+    const bool isLast = readSnapshotChunk(state.cell, state.settings.snapshotChunkRecords, &part);
     snapshot->data += part;
-    if (const auto error = store.addSnapshotPart(part)) {
+    if (const auto error = store.addSnapshotChunk(part)) {
         return error;
     }
     if (!isLast) {
@@ -222,7 +223,7 @@
 
 std::error_code controller::compact(time_point now)
 {
-    const auto since = state.log.applied - state.log.snapshot.index();
+    const auto since = state.log.appliedIndex - state.log.snapshot.index();
     const bool isDue = since > 0 && now >= snapshotNotBefore
         && (since >= state.settings.snapshotEntries
             || store.logBytes() >= state.settings.snapshotBytes);
@@ -232,7 +233,7 @@
     const auto error = snapshot ? continueSnapshot() : startSnapshot();
     if (error == error_kind::DiskFull) {
         snapshot.reset();
-        snapshotNotBefore = now + state.settings.snapshotPause;
+        snapshotNotBefore = now + state.settings.snapshotRetryDelay;
         return {};
     }
     return error;
@@ -243,9 +244,9 @@
     takeLeadership(now);
     proposePending(now, wallMs);
     auto &effects = state.effects;
-    while (effects.mustPersist || effects.mustInstall || !effects.early.empty()
-           || !effects.send.empty() || !effects.committed.empty()) {
-        sendAll(&effects.early);
+    while (effects.mustPersist || effects.mustInstall || !effects.messagesBeforeSync.empty()
+           || !effects.messagesAfterSync.empty() || !effects.entriesToApply.empty()) {
+        sendAll(&effects.messagesBeforeSync);
         if (effects.mustInstall) {
             snapshot.reset(); // the state that it is read from is replaced
         }
@@ -256,14 +257,14 @@
                 log_line {"disk_full", log_line::severity::Error}.with("role",
                                                                        roleName(state.log.role));
             }
-            effects.send.clear();
+            effects.messagesAfterSync.clear();
             break;
         }
         if (error) {
             return error;
         }
         state.isDiskFull = false;
-        sendAll(&effects.send);
+        sendAll(&effects.messagesAfterSync);
         if (effects.mustInstall) {
             install();
         }
@@ -279,7 +280,7 @@
 bool controller::isQuiet() const
 {
     return state.log.role == replica_role::Leader && state.pending.empty() && state.inFlight.empty()
-        && state.log.applied == lastIndex(state.log);
+        && state.log.appliedIndex == lastIndex(state.log);
 }
 
 } // namespace filbert
--- a/modules/filbert_controller/controller.h
+++ b/modules/filbert_controller/controller.h
@@ -17,7 +17,7 @@
 };
 
 /** A snapshot of the state that is being written, one chunk in each turn of the event loop. */
-struct open_snapshot
+struct snapshot_in_progress
 {
     std::uint64_t index = 0;
     std::string data;
@@ -46,10 +46,10 @@
     /** Handles a message.
         @param peer  name of the gateway or identity of the member that sent it
     */
-    void takeMessage(const std::string &peer, const messages::envelope &envelope, time_point now);
+    void handleMessage(const std::string &peer, const messages::envelope &envelope, time_point now);
 
     /** Does what is due by time alone; call it every 10 to 20 ms. */
-    void takeTime(time_point now);
+    void tick(time_point now);
 
     /** Schedules, syncs, sends and applies.
 
@@ -68,7 +68,8 @@
     const controller_state &view() const { return state; }
 
 private:
-    void takeRequest(const reply_address &from, const messages::envelope &envelope, time_point now);
+    void handleRequest(const reply_address &from, const messages::envelope &envelope,
+                       time_point now);
     void proposePending(time_point now, std::int64_t wallMs);
     void takeLeadership(time_point now);
     void sendAll(std::vector<messages::replication_message> *messages);
@@ -83,7 +84,7 @@
     controller_state state;
     log_store &store;
     controller_outbox &outbox;
-    std::optional<open_snapshot> snapshot;
+    std::optional<snapshot_in_progress> snapshot;
     time_point snapshotNotBefore;
 };
 
--- a/modules/filbert_controller/controller_metrics.cpp
+++ b/modules/filbert_controller/controller_metrics.cpp
@@ -17,7 +17,7 @@
     add("filbert_controller_is_leader", "1 on the member that leads", state.isLeading ? 1 : 0);
     add("filbert_controller_term", "Current term", static_cast<double>(state.log.term));
     add("filbert_controller_commit_index", "Last committed entry",
-        static_cast<double>(state.log.commit));
+        static_cast<double>(state.log.commitIndex));
     add("filbert_controller_configuration_version", "Version of the configuration",
         static_cast<double>(cell.configuration.version()));
     add("filbert_controller_targets", "Known targets", static_cast<double>(cell.targets.size()));
@@ -25,7 +25,7 @@
         static_cast<double>(cell.placements.size()));
     add("filbert_controller_jobs", "Jobs kept", static_cast<double>(cell.jobs.size()));
     add("filbert_controller_idempotency_records", "Idempotency records kept",
-        static_cast<double>(cell.idempotency.size()));
+        static_cast<double>(cell.idempotencyRecords.size()));
     add("filbert_controller_commands_applied", "Commands applied since the first",
         static_cast<double>(cell.commandsApplied));
     add("filbert_controller_urgent_waiting", "Urgent requests that wait, on the leader",
--- a/modules/filbert_controller/controller_state.cpp
+++ b/modules/filbert_controller/controller_state.cpp
@@ -19,16 +19,16 @@
     messages::envelope envelope;
     auto *refusal = envelope.mutable_refused();
     refusal->set_kind(static_cast<int>(kind));
-    refusal->set_detail(detail.empty() ? std::string {errorRow(kind).meaning} : detail);
+    refusal->set_detail(detail.empty() ? std::string {errorInfo(kind).description} : detail);
     refusal->set_retry_after_ms(retryAfter.count);
     reply(state, to, std::move(envelope));
 }
 
-void turnAway(controller_state &state, const reply_address &to)
+void redirectToLeader(controller_state &state, const reply_address &to)
 {
     messages::envelope envelope;
     auto *notLeader = envelope.mutable_not_leader();
-    const auto *leader = findMember(state.log.members, state.log.leader);
+    const auto *leader = findMember(state.log.membership, state.log.leader);
     if (leader != nullptr && leader->identity() != state.log.self) {
         notLeader->set_leader(leader->identity());
         notLeader->set_address(leader->address());
@@ -45,7 +45,7 @@
 void proposeEnd(controller_state &state, messages::placement_end &&end,
                 const reply_address &replyTo)
 {
-    if (!state.ending.insert(end.placement_id()).second) {
+    if (!state.proposedEnds.insert(end.placement_id()).second) {
         messages::envelope done;
         done.set_done(true);
         reply(state, replyTo, std::move(done));
--- a/modules/filbert_controller/controller_state.h
+++ b/modules/filbert_controller/controller_state.h
@@ -19,16 +19,16 @@
     policy_settings policy;
     milliseconds targetLease {4'000};
     // For the start of a synchronous request; later, its target rejects the start.
-    milliseconds requestStartSpan {1'500};
+    milliseconds requestStartTimeout {1'500};
     // A task is stopped if throttling it for this long did not help.
-    milliseconds throttleSpan {3'000};
+    milliseconds throttleTimeout {3'000};
     milliseconds configurationLease {3'000};
     std::uint64_t snapshotEntries = 50'000;
     std::uint64_t snapshotBytes = 64 << 20;
     // In one chunk of a snapshot, which is read and synced in one turn of the event loop.
-    std::size_t snapshotPartRecords = 1'000;
-    milliseconds snapshotPause {10'000}; // after a snapshot failed because the disk was full
-    std::size_t pendingCommands = 50'000;
+    std::size_t snapshotChunkRecords = 1'000;
+    milliseconds snapshotRetryDelay {10'000}; // after a snapshot failed because the disk was full
+    std::size_t maxPendingCommands = 50'000;
 };
 
 /** Where an answer goes. */
@@ -39,11 +39,11 @@
 };
 
 /** A synchronous request that waits for free capacity or for the commit of its placement. */
-struct open_dispatch
+struct pending_dispatch
 {
     reply_address replyTo;
     messages::dispatch_request request;
-    time_point giveUpAt;
+    time_point deadline;
 };
 
 /** What the leader knows of a target in addition to the replicated state. */
@@ -51,10 +51,10 @@
 {
     std::string gateway; // through which the last heartbeat came
     std::int64_t clockMs = 0; // the target's clock in its last heartbeat
-    time_point heardAt; // time of the last heartbeat
+    time_point lastContactAt; // time of the last heartbeat
     std::int64_t epoch = 0;
-    time_point leaseEnds; // by then the target has certainly stopped all tasks
-    bool isHeard = false; // whether a heartbeat came in this leader's term
+    time_point leaseExpiresAt; // by then the target has certainly stopped all tasks
+    bool hasHeartbeat = false; // whether a heartbeat came in this leader's term
     bool isLeaving = false;
     bool isRemovalProposed = false;
 };
@@ -63,7 +63,7 @@
 struct gateway_view
 {
     std::int64_t version = 0; // of its configuration
-    time_point leaseEnds; // of its configuration lease
+    time_point leaseExpiresAt; // of its configuration lease
 };
 
 /** A message to a gateway. */
@@ -95,15 +95,15 @@
     std::vector<pending_command> pending;
     // Where the answers to proposed commands go that are not applied yet; by log index.
     std::map<std::uint64_t, std::vector<reply_address>> inFlight;
-    std::unordered_map<std::uint64_t, open_dispatch> dispatches; // by work id
+    std::unordered_map<std::uint64_t, pending_dispatch> dispatches; // by work id
     std::unordered_map<std::uint64_t, std::uint64_t> dispatchOfPlacement; // work id by placement
     std::map<std::string, target_liveness> liveness;
     std::map<std::string, gateway_view> gateways;
-    std::unordered_set<std::uint64_t> ending; // placements whose end has been proposed
-    std::unordered_map<std::uint64_t, time_point> throttled; // since when, by placement
+    std::unordered_set<std::uint64_t> proposedEnds; // placements whose end has been proposed
+    std::unordered_map<std::uint64_t, time_point> throttledSince; // since when, by placement
     // Placements that were ordered to stop; answers to heartbeats repeat the order.
     std::unordered_set<std::uint64_t> stopping;
-    std::uint64_t nextTicket = 0;
+    std::uint64_t lastWorkId = 0;
     bool isDiskFull = false;
     bool isStopping = false;
 
@@ -122,7 +122,7 @@
             const std::string &detail, milliseconds retryAfter = {});
 
 /** Answers that the request was not handled, and names the leader if it is known. */
-void turnAway(controller_state &state, const reply_address &to);
+void redirectToLeader(controller_state &state, const reply_address &to);
 
 /** Adds a command to the next batch. */
 void proposeCommand(controller_state &state, messages::command &&command,
--- a/modules/filbert_controller/leadership.cpp
+++ b/modules/filbert_controller/leadership.cpp
@@ -39,10 +39,10 @@
 void takeTargets(controller_state &state, time_point now)
 {
     for (const auto &[name, target] : state.cell.targets) {
-        setTarget(state.scheduler, viewOf(target), false);
+        updateTarget(state.scheduler, targetEntryOf(target), false);
         // The previous leader may have renewed this lease until its own expired.
         auto &live = state.liveness[name];
-        live.leaseEnds = now + clockRateMargin(state.settings.targetLease);
+        live.leaseExpiresAt = now + withClockRateMargin(state.settings.targetLease);
     }
 }
 
@@ -51,18 +51,18 @@
     for (const auto &[id, placement] : state.cell.placements) {
         running_task task;
         task.target = state.scheduler.index.byName.at(placement.target);
-        task.ticket = placement.jobId;
-        task.task = placement.taskIndex;
+        task.workId = placement.jobId;
+        task.taskIndex = placement.taskIndex;
         task.team = placement.team;
         task.service = placement.service;
-        task.learnName = placement.team + "/" + placement.service;
+        task.estimateKey = placement.team + "/" + placement.service;
         task.need = placement.need;
-        task.since = now;
+        task.startedAt = now;
         task.isIdempotent = placement.isIdempotent;
         const auto job = state.cell.jobs.find(placement.jobId);
         task.kind =
-            job == state.cell.jobs.end() ? work_class::Urgent : workOf(state, job->second).kind;
-        noteRunning(state.scheduler, id, std::move(task));
+            job == state.cell.jobs.end() ? work_class::Urgent : workItemOf(state, job->second).kind;
+        addRunningTask(state.scheduler, id, std::move(task));
     }
 }
 
@@ -79,7 +79,8 @@
         const auto &job = state.cell.jobs.at(id);
         for (std::size_t i = 0; i < job.tasks.size(); ++i) {
             if (job.tasks[i].state == task_state::Waiting) {
-                returnTask(state.scheduler, workOf(state, job), static_cast<std::int32_t>(i), now);
+                requeueTask(state.scheduler, workItemOf(state, job), static_cast<std::int32_t>(i),
+                            now);
             }
         }
     }
@@ -87,10 +88,10 @@
 
 } // namespace
 
-target_view viewOf(const target_record &target)
+target_entry targetEntryOf(const target_record &target)
 {
     const auto &registration = target.registration;
-    target_view view;
+    target_entry view;
     view.name = registration.name();
     view.failureDomain = registration.failure_domain();
     view.capacity = amountsOf(registration.capacity());
@@ -98,24 +99,24 @@
     return view;
 }
 
-work_item workOf(const controller_state &state, const job_record &job)
+work_item workItemOf(const controller_state &state, const job_record &job)
 {
     const auto &submission = job.submission;
     work_item item;
-    item.ticket = submission.id();
+    item.workId = submission.id();
     item.team = submission.team();
     item.service = submission.service();
     item.queue = submission.queue();
     item.name = submission.name();
-    item.declared = taskNeedOf(submission.task());
-    item.need = item.declared;
+    item.declaredNeed = taskNeedOf(submission.task());
+    item.need = item.declaredNeed;
     item.size = static_cast<std::int32_t>(job.tasks.size());
     item.runTime = {submission.run_time_ms()};
     item.isIdempotent = submission.idempotent();
     const auto *queue = state.cell.configuration.queue(submission.queue());
     item.kind = queue == nullptr ? work_class::Batch : classOf(queue->policy());
     if (startsTogether(state, submission)) {
-        item.together = countOpen(countTasks(job));
+        item.minTasksToStart = countOpen(countTasks(job));
     }
     return item;
 }
@@ -126,7 +127,7 @@
         return; // called for every end of a task, and most belong to other jobs
     }
     const auto counts = countTasks(job);
-    setTogether(state.scheduler, job.submission.id(), countOpen(counts));
+    setMinTasksToStart(state.scheduler, job.submission.id(), countOpen(counts));
     if (counts.byState[static_cast<int>(task_state::Waiting)] == 0) {
         return;
     }
@@ -137,7 +138,7 @@
     }
 }
 
-void takeConfiguration(controller_state &state)
+void configureScheduler(controller_state &state)
 {
     const auto &configuration = state.cell.configuration;
     for (const auto &[name, team] : configuration.teams()) {
@@ -160,13 +161,13 @@
     state.scheduler = {};
     state.scheduler.settings = state.settings.policy;
     // Placement ids are unique among all leaders, since a term has only one.
-    state.scheduler.nextPlacement = (state.log.term << placementBitsBelowTerm) + 1;
+    state.scheduler.nextPlacementId = (state.log.term << placementBitsBelowTerm) + 1;
     state.liveness.clear();
     state.gateways.clear();
-    state.ending.clear();
+    state.proposedEnds.clear();
     state.stopping.clear();
-    state.throttled.clear();
-    takeConfiguration(state);
+    state.throttledSince.clear();
+    configureScheduler(state);
     takeTargets(state, now);
     takeRunning(state, now);
     takeWaiting(state, now);
@@ -177,7 +178,7 @@
     }
     log_line {"leading"}
         .with("term", state.log.term)
-        .with("applied", state.log.applied)
+        .with("applied", state.log.appliedIndex)
         .with("placements", state.cell.placements.size())
         .with("targets", state.cell.targets.size());
 }
@@ -188,7 +189,7 @@
     // without an answer may go to the next leader. If their placements get committed, the targets'
     // heartbeats end them.
     for (const auto &[ticket, open] : state.dispatches) {
-        turnAway(state, open.replyTo);
+        redirectToLeader(state, open.replyTo);
     }
     state.isLeading = false;
     state.scheduler = {};
@@ -198,9 +199,9 @@
     state.dispatchOfPlacement.clear();
     state.liveness.clear();
     state.gateways.clear();
-    state.ending.clear();
+    state.proposedEnds.clear();
     state.stopping.clear();
-    state.throttled.clear();
+    state.throttledSince.clear();
     log_line {"not_leading"}.with("term", state.log.term).with("leader", state.log.leader);
 }
 
--- a/modules/filbert_controller/leadership.h
+++ b/modules/filbert_controller/leadership.h
@@ -11,10 +11,10 @@
 void stopLeading(controller_state &state);
 
 /** Copies the configured teams and services to the scheduler. */
-void takeConfiguration(controller_state &state);
+void configureScheduler(controller_state &state);
 
 /** @return a work item for a job, without tasks */
-work_item workOf(const controller_state &state, const job_record &job);
+work_item workItemOf(const controller_state &state, const job_record &job);
 
 /** Ensures that the tasks of an idempotent gang run all or none: if one of them waits again, the
     others are stopped, and then all start together. Call it after any change to the job.
@@ -22,6 +22,6 @@
 void regroupGang(controller_state &state, const job_record &job);
 
 /** @return what the scheduler needs to know of a target */
-target_view viewOf(const target_record &target);
+target_entry targetEntryOf(const target_record &target);
 
 } // namespace filbert
--- a/modules/filbert_controller/operations.cpp
+++ b/modules/filbert_controller/operations.cpp
@@ -81,13 +81,13 @@
         *row->mutable_used() = messageOf(target.used);
         const auto live = state.liveness.find(name);
         const auto health = state.scheduler.health.find(name);
-        if (live == state.liveness.end() || !live->second.isHeard) {
+        if (live == state.liveness.end() || !live->second.hasHeartbeat) {
             row->set_state("silent");
         } else if (live->second.isLeaving) {
             row->set_state("leaving");
         } else if (health != state.scheduler.health.end() && health->second.isQuarantined) {
             row->set_state("quarantined");
-            row->set_reason(std::to_string(health->second.failedJobs.size())
+            row->set_reason(std::to_string(health->second.consecutiveFailures.size())
                             + " different jobs failed in a row");
         } else {
             row->set_state("ready");
@@ -131,17 +131,17 @@
 
 bool isInForce(const controller_state &state, std::int64_t version, time_point now)
 {
-    const auto lease = clockRateMargin(state.settings.configurationLease);
+    const auto lease = withClockRateMargin(state.settings.configurationLease);
     if (state.cell.configuration.version() < version || now - state.leadingSince < lease) {
         return false; // leases that an earlier leader granted may still hold
     }
     return std::all_of(state.gateways.begin(), state.gateways.end(), [&](const auto &each) {
-        return each.second.version >= version || each.second.leaseEnds <= now;
+        return each.second.version >= version || each.second.leaseExpiresAt <= now;
     });
 }
 
-void takeHello(controller_state &state, const reply_address &from,
-               const messages::gateway_hello &hello, time_point now)
+void handleHello(controller_state &state, const reply_address &from,
+                 const messages::gateway_hello &hello, time_point now)
 {
     if (hello.leaving()) {
         state.gateways.erase(hello.gateway());
@@ -158,33 +158,34 @@
         addWhole(state.cell, grant);
     }
     gateway.version = hello.version();
-    gateway.leaseEnds = now + clockRateMargin(lease);
-    std::erase_if(state.gateways, [&](const auto &each) { return each.second.leaseEnds <= now; });
+    gateway.leaseExpiresAt = now + withClockRateMargin(lease);
+    std::erase_if(state.gateways,
+                  [&](const auto &each) { return each.second.leaseExpiresAt <= now; });
     grant->set_version(configuration.version());
     grant->set_digest(configuration.digest());
     grant->set_lease_ms(lease.count);
     grant->set_gateways(static_cast<int>(state.gateways.size()));
-    grant->set_members_index(state.log.membersIndex);
-    if (hello.members_index() != state.log.membersIndex) {
-        *grant->mutable_members() = state.log.members;
+    grant->set_members_index(state.log.membershipIndex);
+    if (hello.members_index() != state.log.membershipIndex) {
+        *grant->mutable_members() = state.log.membership;
     }
     reply(state, from, std::move(envelope));
 }
 
-void takeApply(controller_state &state, const reply_address &from,
-               const messages::apply_request &request)
+void handleApply(controller_state &state, const reply_address &from,
+                 const messages::apply_request &request)
 {
     const auto problems = validateConfiguration(request.next());
     const auto &current = state.cell.configuration;
-    const auto parts = partsOf(request.next());
-    const auto items = differenceOf(current.items(), parts);
+    const auto parts = itemsOf(request.next());
+    const auto items = changesBetween(current.items(), parts);
     messages::command command;
     auto *change = command.mutable_configuration();
     change->set_base_version(request.base_version());
     change->set_request_id(request.request_id());
     change->set_author(request.author());
-    change->set_digest(digestOf(parts));
-    change->set_summary(summaryOf(items));
+    change->set_digest(digestOfItems(parts));
+    change->set_summary(summarizeChanges(items));
     if (!problems.empty()) {
         change->set_refusal(problems.front().field + ": expected " + problems.front().expected);
     } else {
@@ -193,8 +194,8 @@
     proposeCommand(state, std::move(command), from);
 }
 
-void takeStatus(controller_state &state, const reply_address &from,
-                const messages::status_request &request, time_point now)
+void handleStatusRequest(controller_state &state, const reply_address &from,
+                         const messages::status_request &request, time_point now)
 {
     messages::envelope envelope;
     auto *answer = envelope.mutable_status_reply();
@@ -203,8 +204,8 @@
     answer->set_digest(configuration.digest());
     answer->set_leader(state.log.leader);
     answer->set_term(state.log.term);
-    answer->set_applied(state.log.applied);
-    *answer->mutable_members() = state.log.members;
+    answer->set_applied(state.log.appliedIndex);
+    *answer->mutable_members() = state.log.membership;
     answer->set_in_force(isInForce(state, std::max<std::int64_t>(request.version(), 0), now));
     if (request.what() == "audit") {
         const auto &audit = state.cell.audit;
@@ -260,8 +261,8 @@
     return status;
 }
 
-void takeJobQuery(controller_state &state, const reply_address &from,
-                  const messages::job_query &query, time_point now)
+void handleJobQuery(controller_state &state, const reply_address &from,
+                    const messages::job_query &query, time_point now)
 {
     messages::envelope envelope;
     if (query.id() != 0) {
@@ -292,8 +293,8 @@
     reply(state, from, std::move(envelope));
 }
 
-void takeMemberChange(controller_state &state, const reply_address &from,
-                      const messages::member_change &change, time_point now)
+void handleMemberChange(controller_state &state, const reply_address &from,
+                        const messages::member_change &change, time_point now)
 {
     const bool isAddition = change.action() == "add";
     const auto &member = change.member();
@@ -303,7 +304,7 @@
     }
     const auto error = changeMembership(state.log, isAddition, member, now, &state.effects);
     if (error) {
-        refuse(state, from, kindOf(error), "");
+        refuse(state, from, errorKindOf(error), "");
         return;
     }
     messages::command command;
--- a/modules/filbert_controller/operations.h
+++ b/modules/filbert_controller/operations.h
@@ -5,26 +5,26 @@
 namespace filbert {
 
 /** Renews a gateway's configuration lease, and sends the changes that it has not received. */
-void takeHello(controller_state &state, const reply_address &from,
-               const messages::gateway_hello &hello, time_point now);
+void handleHello(controller_state &state, const reply_address &from,
+                 const messages::gateway_hello &hello, time_point now);
 
 /** Handles an operator's new configuration, which replaces the whole current one. */
-void takeApply(controller_state &state, const reply_address &from,
-               const messages::apply_request &request);
+void handleApply(controller_state &state, const reply_address &from,
+                 const messages::apply_request &request);
 
 /** Answers a query for the status, the audit trail, the configuration, the members, or whether a
     version is in force everywhere.
 */
-void takeStatus(controller_state &state, const reply_address &from,
-                const messages::status_request &request, time_point now);
+void handleStatusRequest(controller_state &state, const reply_address &from,
+                         const messages::status_request &request, time_point now);
 
 /** Answers a query for a job or a list of jobs. */
-void takeJobQuery(controller_state &state, const reply_address &from,
-                  const messages::job_query &query, time_point now);
+void handleJobQuery(controller_state &state, const reply_address &from,
+                    const messages::job_query &query, time_point now);
 
 /** Adds or removes a member of the replicated log. */
-void takeMemberChange(controller_state &state, const reply_address &from,
-                      const messages::member_change &change, time_point now);
+void handleMemberChange(controller_state &state, const reply_address &from,
+                        const messages::member_change &change, time_point now);
 
 /** @return the status of a job, with the reason why it waits */
 messages::job_status statusOf(const controller_state &state, const job_record &job, time_point now);
--- a/modules/filbert_controller/target_leases.cpp
+++ b/modules/filbert_controller/target_leases.cpp
@@ -22,7 +22,7 @@
                                const placement_record &placement)
 {
     // A request with an idempotency key has run, but its answer was lost with its gateway.
-    if (task.stopped() || !placement.idempotencyKey.empty()) {
+    if (task.stopped() || !placement.idempotencyRecordKey.empty()) {
         return messages::UNKNOWN;
     }
     return task.succeeded() ? messages::SUCCEEDED : messages::FAILED;
@@ -35,7 +35,7 @@
 bool isAnswerOverdue(const controller_state &state, const placement_record &placement,
                      const messages::target_heartbeat &heartbeat)
 {
-    const auto span = placement.idempotencyKey.empty() ? 0 : state.settings.targetLease.count;
+    const auto span = placement.idempotencyRecordKey.empty() ? 0 : state.settings.targetLease.count;
     return placement.startBy + span < heartbeat.clock_ms();
 }
 
@@ -104,7 +104,7 @@
         const auto id = task.placement_id();
         const bool hasMemory = used.memoryMb <= capacity.memoryMb;
         if (hasMemory && used.milliCores <= capacity.milliCores) {
-            state.throttled.erase(id);
+            state.throttledSince.erase(id);
             continue;
         }
         const auto found = state.scheduler.running.find(id);
@@ -112,9 +112,9 @@
             || !found->second.isIdempotent) {
             continue;
         }
-        const auto since = state.throttled.emplace(id, now).first->second;
+        const auto since = state.throttledSince.emplace(id, now).first->second;
         used -= amountsOf(task.used());
-        if (hasMemory && now - since < state.settings.throttleSpan) {
+        if (hasMemory && now - since < state.settings.throttleTimeout) {
             answer->add_throttle(id);
         } else {
             answer->add_stop(id);
@@ -124,8 +124,8 @@
 
 } // namespace
 
-void takeAnnouncement(controller_state &state, const reply_address &from,
-                      const messages::target_registration &registration)
+void handleAnnouncement(controller_state &state, const reply_address &from,
+                        const messages::target_registration &registration)
 {
     if (!isSensible(registration)) {
         refuse(state, from, error_kind::Malformed,
@@ -137,8 +137,8 @@
     proposeCommand(state, std::move(command), from);
 }
 
-void takeHeartbeat(controller_state &state, const reply_address &from,
-                   const messages::target_heartbeat &heartbeat, time_point now)
+void handleHeartbeat(controller_state &state, const reply_address &from,
+                     const messages::target_heartbeat &heartbeat, time_point now)
 {
     messages::envelope envelope;
     auto *answer = envelope.mutable_heartbeat_reply();
@@ -165,17 +165,17 @@
     const auto lease = state.settings.targetLease;
     live.gateway = from.gateway;
     live.clockMs = heartbeat.clock_ms();
-    live.heardAt = now;
-    live.leaseEnds = now + clockRateMargin(lease);
-    if (!live.isHeard || live.isLeaving != heartbeat.leaving()) {
-        live.isHeard = true;
+    live.lastContactAt = now;
+    live.leaseExpiresAt = now + withClockRateMargin(lease);
+    if (!live.hasHeartbeat || live.isLeaving != heartbeat.leaving()) {
+        live.hasHeartbeat = true;
         live.isLeaving = heartbeat.leaving();
-        setTarget(state.scheduler, viewOf(target), !live.isLeaving);
+        updateTarget(state.scheduler, targetEntryOf(target), !live.isLeaving);
     }
     settlePlacements(state, target, heartbeat);
     for (const auto &task : heartbeat.running()) {
         if (state.cell.placements.contains(task.placement_id())) {
-            noteUsage(state.scheduler, task.placement_id(), amountsOf(task.used()));
+            recordUsage(state.scheduler, task.placement_id(), amountsOf(task.used()));
             if (state.stopping.contains(task.placement_id())) {
                 answer->add_stop(task.placement_id());
             }
@@ -197,12 +197,13 @@
 void expireTargets(controller_state &state, time_point now)
 {
     for (auto &[name, live] : state.liveness) {
-        if (live.isRemovalProposed || now < live.leaseEnds || !state.cell.targets.contains(name)) {
+        if (live.isRemovalProposed || now < live.leaseExpiresAt
+            || !state.cell.targets.contains(name)) {
             continue;
         }
         live.isRemovalProposed = true;
         log_line {"target_lost", log_line::severity::Warning}.with("target", name);
-        setTarget(state.scheduler, viewOf(state.cell.targets.at(name)), false);
+        updateTarget(state.scheduler, targetEntryOf(state.cell.targets.at(name)), false);
         messages::command command;
         command.set_remove_target(name);
         proposeCommand(state, std::move(command));
--- a/modules/filbert_controller/target_leases.h
+++ b/modules/filbert_controller/target_leases.h
@@ -5,12 +5,12 @@
 namespace filbert {
 
 /** Handles the announcement of a target, new or changed. */
-void takeAnnouncement(controller_state &state, const reply_address &from,
-                      const messages::target_registration &registration);
+void handleAnnouncement(controller_state &state, const reply_address &from,
+                        const messages::target_registration &registration);
 
 /** Handles a target's heartbeat: renews its lease and reconciles its placements with its tasks. */
-void takeHeartbeat(controller_state &state, const reply_address &from,
-                   const messages::target_heartbeat &heartbeat, time_point now);
+void handleHeartbeat(controller_state &state, const reply_address &from,
+                     const messages::target_heartbeat &heartbeat, time_point now);
 
 /** Proposes to remove targets whose leases have certainly expired. */
 void expireTargets(controller_state &state, time_point now);
--- a/modules/filbert_controller/tests/dispatch_test.cpp
+++ b/modules/filbert_controller/tests/dispatch_test.cpp
@@ -22,7 +22,7 @@
         store.open(&stored, &damage);
         messages::member self;
         self.set_identity("c1-x");
-        auto first = makeFirstEntry(self);
+        auto first = makeBootstrapEntry(self);
         store.append(1, "", {first});
         stored.entries = {first};
         running = std::make_unique<controller>(controller_settings {}, replication_settings {},
@@ -42,14 +42,14 @@
     void pass(std::int64_t ms)
     {
         now = now + milliseconds {ms};
-        running->takeTime(now);
+        running->tick(now);
         running->flush(now, now.ms);
     }
 
     void take(messages::envelope envelope)
     {
         envelope.set_exchange(++lastExchange);
-        running->takeMessage("g1", envelope, now);
+        running->handleMessage("g1", envelope, now);
     }
 
     void announce(std::int64_t epoch)
@@ -139,7 +139,7 @@
         auto *team = apply->mutable_next()->add_teams();
         team->set_name("orders");
         team->set_share(1);
-        *team->add_keys() = makeKey("desk").stored;
+        *team->add_keys() = generateKey("desk").storedKey;
         for (const auto policy : {messages::URGENT, messages::BATCH, messages::GANG}) {
             auto *queue = apply->mutable_next()->add_queues();
             queue->set_name(policy == messages::URGENT      ? "quotes"
@@ -299,7 +299,7 @@
     lone_controller cell;
     cell.makeReady();
     cell.now = cell.now + milliseconds {6'000};
-    cell.running->takeTime(cell.now); // the lease has expired: the target's removal is proposed
+    cell.running->tick(cell.now); // the lease has expired: the target's removal is proposed
     cell.sent.clear();
     cell.beat(1, 200);
     cell.running->flush(cell.now, 1);
--- a/modules/filbert_controller/tests/older_format_test.cpp
+++ b/modules/filbert_controller/tests/older_format_test.cpp
@@ -32,12 +32,13 @@
             applyCommand(cell, command, batch.wall_ms());
         }
     }
-    checkCell(cell);
+    checkCellInvariants(cell);
     CHECK(cell.configuration.version() == 1);
     CHECK(cell.jobs.size() == 1);
-    const auto *record = findIdempotency(cell, idempotencyName("orders", "service/die", "die-3"));
+    const auto *record =
+        findIdempotencyRecord(cell, idempotencyRecordKey("orders", "service/die", "die-3"));
     REQUIRE(record != nullptr);
     CHECK(record->body() == "t1 did die-3");
-    CHECK(cell.idempotency.size() == 4);
+    CHECK(cell.idempotencyRecords.size() == 4);
     std::filesystem::remove_all(folder);
 }
--- a/modules/filbert_controller/work_intake.cpp
+++ b/modules/filbert_controller/work_intake.cpp
@@ -19,9 +19,9 @@
     if (request.idempotency_key().empty()) {
         return false;
     }
-    const auto name =
-        idempotencyName(request.team(), "service/" + request.service(), request.idempotency_key());
-    const auto *known = findIdempotency(state.cell, name);
+    const auto name = idempotencyRecordKey(request.team(), "service/" + request.service(),
+                                           request.idempotency_key());
+    const auto *known = findIdempotencyRecord(state.cell, name);
     if (known == nullptr) {
         return false;
     }
@@ -49,7 +49,8 @@
                        time_point now)
 {
     const auto leaseEnd = live.clockMs + state.settings.targetLease.count;
-    const auto near = live.clockMs + (now - live.heardAt + state.settings.requestStartSpan).count;
+    const auto near =
+        live.clockMs + (now - live.lastContactAt + state.settings.requestStartTimeout).count;
     return isRequest ? std::min(leaseEnd, near) : leaseEnd;
 }
 
@@ -59,13 +60,13 @@
     const auto &target = state.scheduler.index.targets[decision.target];
     const auto &live = state.liveness.at(target.name);
     messages::placement place;
-    place.set_id(decision.placement);
+    place.set_id(decision.placementId);
     place.set_target(target.name);
     place.set_target_epoch(state.cell.targets.at(target.name).registration.epoch());
     place.set_team(task.team);
     place.set_service(task.service);
     *place.mutable_task() = messageOf(task.need);
-    const bool isRequest = state.dispatches.contains(decision.ticket);
+    const bool isRequest = state.dispatches.contains(decision.workId);
     place.set_start_by(startByOf(state, live, isRequest, now));
     place.set_idempotent(task.isIdempotent);
     return place;
@@ -73,19 +74,19 @@
 
 void proposePlacement(controller_state &state, const placement_decision &decision, time_point now)
 {
-    const auto &task = state.scheduler.running.at(decision.placement);
+    const auto &task = state.scheduler.running.at(decision.placementId);
     messages::command command;
     auto *place = command.mutable_place();
     *place = placementOf(state, decision, task, now);
-    const auto open = state.dispatches.find(decision.ticket);
+    const auto open = state.dispatches.find(decision.workId);
     if (open != state.dispatches.end()) {
         const auto &request = open->second.request;
         place->set_idempotency_key(request.idempotency_key());
         place->set_request_digest(request.request_digest());
-        state.dispatchOfPlacement[decision.placement] = decision.ticket;
+        state.dispatchOfPlacement[decision.placementId] = decision.workId;
     } else {
-        place->set_job_id(decision.ticket);
-        place->set_task_index(decision.task);
+        place->set_job_id(decision.workId);
+        place->set_task_index(decision.taskIndex);
     }
     proposeCommand(state, std::move(command));
 }
@@ -95,11 +96,11 @@
 {
     messages::command command;
     for (const auto &decision : decisions) {
-        const auto &task = state.scheduler.running.at(decision.placement);
+        const auto &task = state.scheduler.running.at(decision.placementId);
         auto *place = command.mutable_place_gang()->add_placements();
         *place = placementOf(state, decision, task, now);
-        place->set_job_id(decision.ticket);
-        place->set_task_index(decision.task);
+        place->set_job_id(decision.workId);
+        place->set_task_index(decision.taskIndex);
     }
     proposeCommand(state, std::move(command));
 }
@@ -126,8 +127,8 @@
     state.outbox.push_back({live->second.gateway, std::move(envelope)});
 }
 
-void takeDispatch(controller_state &state, const reply_address &from,
-                  const messages::dispatch_request &request, time_point now)
+void handleDispatch(controller_state &state, const reply_address &from,
+                    const messages::dispatch_request &request, time_point now)
 {
     const auto &configuration = state.cell.configuration;
     const auto *service = configuration.service(request.service());
@@ -146,34 +147,34 @@
         return;
     }
     work_item item;
-    item.ticket = requestTicketBit | ++state.nextTicket;
+    item.workId = requestTicketBit | ++state.lastWorkId;
     item.kind = queue != nullptr && queue->policy() == messages::URGENT ? work_class::Urgent
                                                                         : work_class::Batch;
     item.team = request.team();
     item.service = request.service();
     item.queue = service->queue();
-    item.declared = taskNeedOf(service->task());
+    item.declaredNeed = taskNeedOf(service->task());
     item.tasks = {0};
-    item.avoid = {request.avoid().begin(), request.avoid().end()};
-    item.giveUpAt = now + milliseconds {request.wait_ms()};
-    const auto ticket = item.ticket;
+    item.excludedTargets = {request.avoid().begin(), request.avoid().end()};
+    item.startDeadline = now + milliseconds {request.wait_ms()};
+    const auto ticket = item.workId;
     if (const auto error = addWork(state.scheduler, std::move(item), now)) {
-        refuse(state, from, kindOf(error), "", retryWhenFull);
+        refuse(state, from, errorKindOf(error), "", retryWhenFull);
         return;
     }
-    state.dispatches.emplace(ticket,
-                             open_dispatch {from, request, now + milliseconds {request.wait_ms()}});
+    state.dispatches.emplace(
+        ticket, pending_dispatch {from, request, now + milliseconds {request.wait_ms()}});
 }
 
-void takeEnd(controller_state &state, const reply_address &from, const messages::placement_end &end,
-             time_point now)
+void handleEnd(controller_state &state, const reply_address &from,
+               const messages::placement_end &end, time_point now)
 {
     if (!end.unreachable_target().empty()) {
         // A single gateway that is cut off must not make targets unavailable to all others.
         const auto witnesses = std::min<std::size_t>(state.gateways.size(), unreachableWitnesses);
-        noteUnreachable(state.scheduler,
-                        {end.unreachable_target(), end.placement_id(), from.gateway, witnesses},
-                        now);
+        recordUnreachable(state.scheduler,
+                          {end.unreachable_target(), end.placement_id(), from.gateway, witnesses},
+                          now);
     }
     const auto found = state.cell.placements.find(end.placement_id());
     if (found == state.cell.placements.end()) {
@@ -186,8 +187,8 @@
     proposeEnd(state, std::move(copy), from);
 }
 
-void takeSubmission(controller_state &state, const reply_address &from,
-                    const messages::job_submission &submission)
+void handleSubmission(controller_state &state, const reply_address &from,
+                      const messages::job_submission &submission)
 {
     const auto &configuration = state.cell.configuration;
     const auto *queue = configuration.queue(submission.queue());
@@ -216,7 +217,7 @@
     }
     const bool isGang = queue->policy() == messages::GANG;
     const auto together = isGang ? static_cast<std::size_t>(std::max(submission.tasks(), 1)) : 1;
-    if (!fitsWithin(timesOf(need, together), limitOf(*team))) {
+    if (!fitsWithin(scaledBy(need, together), limitOf(*team))) {
         refuse(state, from, error_kind::LimitReached, "the job alone exceeds the team's limit");
         return;
     }
@@ -225,15 +226,15 @@
     proposeCommand(state, std::move(command), from);
 }
 
-void takeJobChange(controller_state &state, const reply_address &from,
-                   const messages::job_change &change)
+void handleJobChange(controller_state &state, const reply_address &from,
+                     const messages::job_change &change)
 {
     if (!state.cell.jobs.contains(change.id())) {
         refuse(state, from, error_kind::NotFound, "no such job");
         return;
     }
     if (change.action() != messages::RELEASE) {
-        dropWork(state.scheduler, change.id()); // at once, so that no more of its tasks start
+        removeWork(state.scheduler, change.id()); // at once, so that no more of its tasks start
     }
     if (change.action() == messages::CANCEL) {
         for (const auto &task : state.cell.jobs.at(change.id()).tasks) {
@@ -247,13 +248,13 @@
     proposeCommand(state, std::move(command), from);
 }
 
-void turnWaitingAway(controller_state &state)
+void redirectWaitingRequests(controller_state &state)
 {
     std::erase_if(state.dispatches, [&](const auto &entry) {
         const bool isWaiting = state.scheduler.waiting.contains(entry.first);
         if (isWaiting) {
-            turnAway(state, entry.second.replyTo);
-            dropWork(state.scheduler, entry.first);
+            redirectToLeader(state, entry.second.replyTo);
+            removeWork(state.scheduler, entry.first);
         }
         return isWaiting;
     });
@@ -261,17 +262,18 @@
 
 void runScheduler(controller_state &state, time_point now)
 {
-    if (state.isDiskFull || state.pending.size() >= state.settings.pendingCommands
-        || lastIndex(state.log) - state.log.commit >= state.log.settings.maxUncommitted) {
+    if (state.isDiskFull || state.pending.size() >= state.settings.maxPendingCommands
+        || lastIndex(state.log) - state.log.commitIndex
+            >= state.log.settings.maxUncommittedEntries) {
         return;
     }
     const auto result = schedule(state.scheduler, now);
     for (std::size_t i = 0; i < result.placements.size();) {
         const auto &first = result.placements[i];
         std::vector<placement_decision> same;
-        const bool isGang = state.scheduler.running.at(first.placement).kind == work_class::Gang;
+        const bool isGang = state.scheduler.running.at(first.placementId).kind == work_class::Gang;
         while (isGang && i < result.placements.size()
-               && result.placements[i].ticket == first.ticket) {
+               && result.placements[i].workId == first.workId) {
             same.push_back(result.placements[i++]);
         }
         if (isGang) {
@@ -282,14 +284,14 @@
         }
     }
     for (const auto &refusal : result.refusals) {
-        const auto open = state.dispatches.find(refusal.ticket);
+        const auto open = state.dispatches.find(refusal.workId);
         if (open != state.dispatches.end()) {
             refuse(state, open->second.replyTo, refusal.kind, "", retryWhenFull);
             state.dispatches.erase(open);
         }
     }
     for (const auto &stop : result.stops) {
-        sendStop(state, stop.placement, "checkpoint");
+        sendStop(state, stop.placementId, "checkpoint");
     }
 }
 
--- a/modules/filbert_controller/work_intake.h
+++ b/modules/filbert_controller/work_intake.h
@@ -5,20 +5,20 @@
 namespace filbert {
 
 /** Handles a gateway's request for a target that runs a synchronous request. */
-void takeDispatch(controller_state &state, const reply_address &from,
-                  const messages::dispatch_request &request, time_point now);
+void handleDispatch(controller_state &state, const reply_address &from,
+                    const messages::dispatch_request &request, time_point now);
 
 /** Handles a gateway's report on how a synchronous request or a start order ended. */
-void takeEnd(controller_state &state, const reply_address &from, const messages::placement_end &end,
-             time_point now);
+void handleEnd(controller_state &state, const reply_address &from,
+               const messages::placement_end &end, time_point now);
 
 /** Handles the submission of a job. The answer is sent once the job is durable. */
-void takeSubmission(controller_state &state, const reply_address &from,
-                    const messages::job_submission &submission);
+void handleSubmission(controller_state &state, const reply_address &from,
+                      const messages::job_submission &submission);
 
 /** Handles a request to cancel, hold or release a job. */
-void takeJobChange(controller_state &state, const reply_address &from,
-                   const messages::job_change &change);
+void handleJobChange(controller_state &state, const reply_address &from,
+                     const messages::job_change &change);
 
 /** Orders a running task to end. Answers to heartbeats repeat the order until the task has ended.
     @param action  "stop" or "checkpoint", see docs/API.md
@@ -26,7 +26,7 @@
 void sendStop(controller_state &state, std::uint64_t placement, const char *action);
 
 /** Redirects requests that wait for free capacity to the next leader, at a planned stop. */
-void turnWaitingAway(controller_state &state);
+void redirectWaitingRequests(controller_state &state);
 
 /** Runs the scheduler and turns its decisions into commands. */
 void runScheduler(controller_state &state, time_point now);
--- a/modules/filbert_core/clock.h
+++ b/modules/filbert_core/clock.h
@@ -31,7 +31,7 @@
 /** A point on one clock, in milliseconds since that clock's own start.
 
     Points of different hosts' clocks are never compared with each other: only their rates are
-    trusted, within clockRateMargin().
+    trusted, within withClockRateMargin().
 */
 struct time_point
 {
@@ -63,7 +63,7 @@
     @param lease  what was promised, in milliseconds
     @return the time to wait, in milliseconds
 */
-constexpr milliseconds clockRateMargin(milliseconds lease)
+constexpr milliseconds withClockRateMargin(milliseconds lease)
 {
     return {lease.count + lease.count / 20 + 1};
 }
--- a/modules/filbert_core/error_kind.h
+++ b/modules/filbert_core/error_kind.h
@@ -5,7 +5,7 @@
 
 namespace filbert {
 
-/** Every way in which a call can fail; the list is closed. @see errorRow */
+/** Every way in which a call can fail; the list is closed. @see errorInfo */
 enum class error_kind {
     None,
     Malformed,
@@ -44,17 +44,17 @@
 };
 
 /** One row of the table from kind to answer. */
-struct error_row
+struct error_info
 {
     error_kind kind;
     std::string_view name;
     int httpStatus;
     work_outcome outcome;
-    std::string_view meaning;
+    std::string_view description;
 };
 
 /** The answer for a kind. @param kind any kind @return its row; never fails */
-const error_row &errorRow(error_kind kind);
+const error_info &errorInfo(error_kind kind);
 
 /** @param outcome any value @return its name in answers, e.g. "not_run" */
 std::string_view outcomeName(work_outcome outcome);
@@ -63,7 +63,7 @@
 std::error_code make_error_code(error_kind kind); // NOLINT(readability-identifier-naming)
 
 /** The way back. @param code any code @return its kind; foreign codes are Internal */
-error_kind kindOf(const std::error_code &code);
+error_kind errorKindOf(const std::error_code &code);
 
 } // namespace filbert
 
--- a/modules/filbert_core/log_line.cpp
+++ b/modules/filbert_core/log_line.cpp
@@ -102,7 +102,7 @@
     google::InitGoogleLogging(program);
 }
 
-void startOutputLog(const char *program, int linesPerSecond)
+void startStdoutLog(const char *program, int linesPerSecond)
 {
     for (int severity = 0; severity < google::NUM_SEVERITIES; ++severity) {
         google::SetLogDestination(severity, ""); // no files
--- a/modules/filbert_core/log_line.h
+++ b/modules/filbert_core/log_line.h
@@ -58,9 +58,9 @@
     second than the bound, lines are left out and their number is logged.
     @param linesPerSecond  the bound
 */
-void startOutputLog(const char *program, int linesPerSecond);
+void startStdoutLog(const char *program, int linesPerSecond);
 
-/** Writes out what startOutputLog() has gathered, as far as that goes without waiting. */
+/** Writes out what startStdoutLog() has gathered, as far as that goes without waiting. */
 void flushLog();
 
 /** Keeps all events below a program's end out of the log; for tests and benchmarks. */
--- a/modules/filbert_core/output_log.h
+++ b/modules/filbert_core/output_log.h
@@ -24,7 +24,7 @@
     void flush();
 
     /** @return lines that were left out and not yet reported */
-    std::size_t leftOut() const { return dropped; }
+    std::size_t discardedLines() const { return dropped; }
 
 private:
     int descriptor;
--- a/modules/filbert_core/settings.cpp
+++ b/modules/filbert_core/settings.cpp
@@ -58,7 +58,7 @@
     require(isEndpoint(value), "--" + flag + ": expected IP:port, found '" + value + "'");
 }
 
-bool settings_check::isAllRight() const
+bool settings_check::isValid() const
 {
     for (const auto &problem : problems) {
         log_line {"setting_wrong", log_line::severity::Error}.with("problem", problem);
--- a/modules/filbert_core/settings.h
+++ b/modules/filbert_core/settings.h
@@ -29,7 +29,7 @@
     void requireEndpoint(const std::string &flag, const std::string &value);
 
     /** Logs each problem. @return true if there is none */
-    bool isAllRight() const;
+    bool isValid() const;
 
 private:
     std::vector<std::string> problems;
--- a/modules/filbert_core/tests/output_log_test.cpp
+++ b/modules/filbert_core/tests/output_log_test.cpp
@@ -51,7 +51,7 @@
         log.add(line, {1});
         log.flush();
     }
-    CHECK(log.leftOut() > 0);
+    CHECK(log.discardedLines() > 0);
     ends.takeAll();
     log.flush();
     log.add("after", {2});
@@ -68,7 +68,7 @@
     for (int i = 0; i < 25; ++i) {
         log.add("line", {100});
     }
-    CHECK(log.leftOut() == 15);
+    CHECK(log.discardedLines() == 15);
     log.add("line", {1'200});
     log.flush();
     CHECK(ends.takeAll().find("count=15") != std::string::npos);
--- a/modules/filbert_dispatch/admission_desk.h
+++ b/modules/filbert_dispatch/admission_desk.h
@@ -5,7 +5,7 @@
 namespace filbert {
 
 /** The duration of a call of the policy service up to which urgent steps can wait for it. */
-constexpr milliseconds quickAdmission {100};
+constexpr milliseconds maxQuickAdmissionTime {100};
 
 /** Requests tickets for a step from the policy service, unless a request of it is pending.
 
@@ -25,32 +25,33 @@
     @param process  distinguishes processes of the same name: if it has changed, the requests of the
                     previous process go to other callers at once
 */
-void takeCaller(dispatch_state &state, const std::string &name, std::uint64_t process,
-                time_point now);
+void registerCaller(dispatch_state &state, const std::string &name, std::uint64_t process,
+                    time_point now);
 
 /** Unregisters a process that stops calling the policy service. It still answers the request that
    it has. */
-void dropCaller(dispatch_state &state, const std::string &name);
+void unregisterCaller(dispatch_state &state, const std::string &name);
 
 /** Handles the answer of the policy service to a request. */
-void takeAdmission(dispatch_state &state, const messages::admission_answer &answer, time_point now);
+void handleAdmissionAnswer(dispatch_state &state, const messages::admission_answer &answer,
+                           time_point now);
 
 /** Sends waiting requests to free callers, and overdue ones to other callers. */
-void stepAdmissions(dispatch_state &state, time_point now);
+void tickAdmissions(dispatch_state &state, time_point now);
 
 /** @return how many callers are free for a call of a costly policy now */
-std::size_t spareCallers(const dispatch_state &state, time_point now);
+std::size_t countSpareCallers(const dispatch_state &state, time_point now);
 
 /** @return the expected duration of a call that names so many targets */
 milliseconds admissionTime(const messages::admission_policy &policy, std::size_t targets);
 
 /** Whether a start that is decided now can reach its target before the ticket expires. */
-bool isUsable(const dispatch_state &state, const admission_view::ticket &ticket,
-              const messages::admission_policy &policy, time_point now);
+bool isTicketUsable(const dispatch_state &state, const admission_view::ticket &ticket,
+                    const messages::admission_policy &policy, time_point now);
 
 /** @return the ticket for a target if it can be used for a start now, else nullptr */
-const std::string *usableTicket(const dispatch_state &state, const admission_view &view,
-                                const messages::admission_policy &policy, const std::string &target,
-                                time_point now);
+const std::string *findUsableTicket(const dispatch_state &state, const admission_view &view,
+                                    const messages::admission_policy &policy,
+                                    const std::string &target, time_point now);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/dispatch_state.cpp
+++ b/modules/filbert_dispatch/dispatch_state.cpp
@@ -21,36 +21,36 @@
 void afterStart(dispatch_state &state, const messages::start_run_command &start, bool refused,
                 time_point now)
 {
-    const auto task = nameOf(start.task());
-    unplanStart(state, task);
+    const auto task = toTaskName(start.task());
+    releaseStart(state, task);
     std::string ticket;
-    if (const auto held = state.plannedTickets.extract(task)) {
+    if (const auto held = state.reservedTickets.extract(task)) {
         ticket = held.mapped();
     }
     refreshJob(state, task.job, now);
     if (!refused) {
-        syncTargets(state, start.target(), now);
+        syncTarget(state, start.target(), now);
         orderStart(state, start, ticket, now);
         return;
     }
     log_line {"start_refused", log_line::severity::Warning}
-        .with("task", textOf(task))
+        .with("task", toString(task))
         .with("run", start.run())
         .with("target", start.target());
 }
 
 void afterEnds(dispatch_state &state, const messages::end_runs_command &ends, time_point now)
 {
-    syncTargets(state, ends.target(), now);
+    syncTarget(state, ends.target(), now);
     const auto target = state.targets.find(ends.target());
     if (target != state.targets.end()) {
-        target->second.lookAt = now;
+        target->second.nextPollAt = now;
     }
     std::set<std::string> jobs;
     for (const auto &end : ends.ends()) {
         jobs.insert(end.task().job());
         log_line {"run_ended"}
-            .with("task", textOf(nameOf(end.task())))
+            .with("task", toString(toTaskName(end.task())))
             .with("run", end.run())
             .with("target", ends.target())
             .with("end", messages::end_kind_Name(end.kind()));
@@ -71,7 +71,7 @@
             jobs.insert(task.job);
         }
     }
-    syncTargets(state, id, now);
+    syncTarget(state, id, now);
     for (const auto &job : jobs) {
         refreshJob(state, job, now);
     }
@@ -83,8 +83,8 @@
     // A new registration may have ended another target at the same address.
     std::vector<std::string> ended;
     for (const auto &[id, target] : state.targets) {
-        const auto known = state.work->lives.find(id);
-        if (known != state.work->lives.end() && known->second.isOver) {
+        const auto known = state.work->targets.find(id);
+        if (known != state.work->targets.end() && known->second.hasEnded) {
             ended.push_back(id);
         }
     }
@@ -103,7 +103,7 @@
             if (wallMs < due) {
                 break;
             }
-            if (!state.begun.emplace(id, k).second) {
+            if (!state.proposedOccurrences.emplace(id, k).second) {
                 continue;
             }
             messages::work_command command;
@@ -116,15 +116,15 @@
 
 void forgetEnded(dispatch_state &state, time_point now, std::int64_t wallMs)
 {
-    if (now < state.forgetAt) {
+    if (now < state.nextCleanupAt) {
         return;
     }
-    state.forgetAt = now + forgetPeriod;
+    state.nextCleanupAt = now + forgetPeriod;
     messages::work_command command;
     auto *forget = command.mutable_forget();
     for (const auto &[id, job] : state.work->jobs) {
-        const bool isDue = job.isEnded() && job.running == 0
-            && wallMs - job.endedWallMs > state.settings.retention.count;
+        const bool isDue = job.hasEnded() && job.runningTasks == 0
+            && wallMs - job.endedWallMs > state.settings.jobRetention.count;
         if (isDue && forget->jobs_size() < jobsForgottenAtOnce) {
             forget->add_jobs(id);
         }
@@ -136,33 +136,33 @@
 
 } // namespace
 
-void planStart(dispatch_state &state, const task_name &task, target_conversation &target)
+void reserveStart(dispatch_state &state, const task_name &task, tracked_target &target)
 {
     const auto &job = state.work->jobs.at(task.job);
-    const auto &spec = specOf(job, task.step);
-    state.planned[task] = target.id;
-    state.teamPlanned[job.job.team()] += wholeNeedOf(spec);
-    target.planned += reservedBy(spec);
-    target.plannedFill += fillCoresOf(spec);
+    const auto &spec = stepSpecOf(job, task.step);
+    state.reservedStarts[task] = target.id;
+    state.teamReserved[job.job.team()] += taskDemand(spec);
+    target.reservedResources += targetReservation(spec);
+    target.reservedBestEffortCores += bestEffortCoresOf(spec);
 }
 
-void unplanStart(dispatch_state &state, const task_name &task)
+void releaseStart(dispatch_state &state, const task_name &task)
 {
-    const auto planned = state.planned.find(task);
-    if (planned == state.planned.end()) {
+    const auto planned = state.reservedStarts.find(task);
+    if (planned == state.reservedStarts.end()) {
         return;
     }
     const auto job = state.work->jobs.find(task.job);
     const auto target = state.targets.find(planned->second);
-    state.planned.erase(planned);
+    state.reservedStarts.erase(planned);
     if (job == state.work->jobs.end()) {
         return;
     }
-    const auto &spec = specOf(job->second, task.step);
-    state.teamPlanned[job->second.job.team()] -= wholeNeedOf(spec);
+    const auto &spec = stepSpecOf(job->second, task.step);
+    state.teamReserved[job->second.job.team()] -= taskDemand(spec);
     if (target != state.targets.end()) {
-        target->second.planned -= reservedBy(spec);
-        target->second.plannedFill -= fillCoresOf(spec);
+        target->second.reservedResources -= targetReservation(spec);
+        target->second.reservedBestEffortCores -= bestEffortCoresOf(spec);
     }
 }
 
@@ -173,18 +173,18 @@
     state.settings = settings;
     state.work = &work;
     state.term = term;
-    state.lastAdmission = term << idBitsBelowTerm; // answers of earlier terms match no request
+    state.lastAdmissionId = term << idBitsBelowTerm; // answers of earlier terms match no request
     state.leadingSince = now;
-    state.forgetAt = now + forgetPeriod;
-    for (const auto &[id, life] : work.lives) {
-        syncTargets(state, id, now);
+    state.nextCleanupAt = now + forgetPeriod;
+    for (const auto &[id, life] : work.targets) {
+        syncTarget(state, id, now);
     }
     for (const auto &[id, job] : work.jobs) {
-        if (!job.isEnded()) {
+        if (!job.hasEnded()) {
             refreshJob(state, id, now);
             const auto age = std::clamp<std::int64_t>(wallMs - job.job.accepted_wall_ms(), 0,
-                                                      settings.retention.count);
-            for (auto &[number, begun] : state.jobs[id].begunAt) {
+                                                      settings.jobRetention.count);
+            for (auto &[number, begun] : state.jobs[id].occurrenceBegunAt) {
                 begun = job.job.repeat_count() == 0 ? now - milliseconds {age} : now;
             }
         }
@@ -192,11 +192,11 @@
     return state;
 }
 
-void afterCommand(dispatch_state &state, const messages::work_command &command, bool refused,
-                  time_point now)
+void handleCommittedCommand(dispatch_state &state, const messages::work_command &command,
+                            bool refused, time_point now)
 {
     using body = messages::work_command::BodyCase;
-    state.isChanged = true;
+    state.mayPlaceMore = true;
     switch (command.body_case()) {
     case body::kAccept:
         refreshJob(state, command.accept().id(), now);
@@ -211,10 +211,10 @@
         afterEnds(state, command.end(), now);
         break;
     case body::kDrop: {
-        const auto task = nameOf(command.drop().task());
+        const auto task = toTaskName(command.drop().task());
         for (const auto &[id, target] : state.targets) {
             if (target.runs.contains(task)) {
-                syncTargets(state, id, now);
+                syncTarget(state, id, now);
                 break;
             }
         }
@@ -237,22 +237,23 @@
     }
 }
 
-void stepDispatch(dispatch_state &state, time_point now, std::int64_t wallMs)
+void tickDispatch(dispatch_state &state, time_point now, std::int64_t wallMs)
 {
-    stepTargets(state, now);
+    tickTargets(state, now);
     beginDue(state, wallMs);
     forgetEnded(state, now, wallMs);
-    const bool isDue = (state.isChanged && now >= state.passNotBefore) || now >= state.passAt;
+    const bool isDue =
+        (state.mayPlaceMore && now >= state.earliestPassAt) || now >= state.nextPassAt;
     if (isDue) {
-        state.isChanged = false;
-        state.passAt = now + state.settings.passPeriod;
-        placeWaiting(state, now);
+        state.mayPlaceMore = false;
+        state.nextPassAt = now + state.settings.passPeriod;
+        placeWaitingTasks(state, now);
         const auto pause =
             static_cast<std::int64_t>(state.waitingSteps / stepsPerMillisecond
                                       + state.targets.size() / targetsPerMillisecond);
-        state.passNotBefore = now + milliseconds {std::min(pause, longestPassPause.count)};
+        state.earliestPassAt = now + milliseconds {std::min(pause, longestPassPause.count)};
     }
-    stepAdmissions(state, now);
+    tickAdmissions(state, now);
 }
 
 } // namespace filbert
--- a/modules/filbert_dispatch/dispatch_state.h
+++ b/modules/filbert_dispatch/dispatch_state.h
@@ -20,34 +20,38 @@
     // Outlasts an election (1 s), the first call of a new leader and one lost poll. A target grants
     // no lease longer than its own maximum, see maxTargetLease.
     milliseconds targetLease {5'000};
-    milliseconds longestLease {6'000}; // the longest lease that a target grants; from the settings
-    milliseconds lookWait {1'500}; // a poll returns by then; a lease is longer than two polls
+    milliseconds maxTargetLease {
+        6'000}; // the longest lease that a target grants; from the settings
+    milliseconds pollWait {1'500}; // a poll returns by then; a lease is longer than two polls
     // Where best-effort runs share a target with latency-sensitive ones.
-    milliseconds busyLookWait {400};
+    milliseconds mixedLoadPollWait {400};
     milliseconds startTimeout {150}; // many round trips; sending a start again does no harm
-    milliseconds firstRetryPause {20}; // after the first timeout, since urgent work waits
+    milliseconds initialRetryDelay {20}; // after the first timeout, since urgent work waits
     milliseconds orderTimeout {700}; // of stops and work rates, which nothing waits for
     // No process ends and starts again between two polls that are this close to each other.
-    milliseconds sameLifeSpan {400};
-    milliseconds lookGrace {700}; // added to the wait of a poll
-    milliseconds retryPause {150}; // between tries of one order; an unreachable target costs little
+    milliseconds sameIncarnationWindow {400};
+    milliseconds pollGracePeriod {700}; // added to the wait of a poll
+    milliseconds retryDelay {150}; // between tries of one order; an unreachable target costs little
     // Where answers get lost, short timeouts and a second try cost less than they save.
-    milliseconds lossSpan {5'000}; // a lost answer counts for that long
-    std::size_t lossyTargets = 2; // that lost an answer; a single one may be at fault itself
-    milliseconds lossyLookWait {250}; // a third of the shortest usual task
-    milliseconds lossyLookGrace {150};
+    milliseconds answerLossWindow {5'000}; // a lost answer counts for that long
+    std::size_t lossyTargetThreshold =
+        2; // that lost an answer; a single one may be at fault itself
+    milliseconds lossyPollWait {250}; // a third of the shortest usual task
+    milliseconds lossyPollGracePeriod {150};
     milliseconds lossyStartTimeout {70}; // ten round trips between failure domains
-    milliseconds startSpan {2'200}; // an unanswered start is withdrawn after that: three tries
-    milliseconds contactSpan {3'300}; // two missed reports of 1.5 s: no new work for that target
-    milliseconds lateOrderSpan {12'000}; // an unanswered order may still be carried out this late
-    milliseconds stallSpan {2'500}; // without progress; longer than a restore from a checkpoint
-    milliseconds firstAvoidance {3'000}; // of a target that failed several jobs in a row
-    milliseconds longestAvoidance {12'000};
-    int failuresBeforeAvoidance = 3; // in a row, from different jobs
+    milliseconds startRetryPeriod {
+        2'200}; // an unanswered start is withdrawn after that: three tries
+    milliseconds contactTimeout {3'300}; // two missed reports of 1.5 s: no new work for that target
+    milliseconds maxOrderDelay {12'000}; // an unanswered order may still be carried out this late
+    milliseconds stallTimeout {2'500}; // without progress; longer than a restore from a checkpoint
+    milliseconds initialQuarantine {3'000}; // of a target that failed several jobs in a row
+    milliseconds maxQuarantine {12'000};
+    int failuresBeforeQuarantine = 3; // in a row, from different jobs
     milliseconds ticketMargin {250}; // a start must reach its target before its ticket expires
-    milliseconds targetsPeriod {20}; // between ticks of all targets, for what is due by time alone
+    milliseconds targetTickPeriod {
+        20}; // between ticks of all targets, for what is due by time alone
     milliseconds passPeriod {100}; // between passes while tasks wait and nothing changes
-    milliseconds retention {130'000}; // of ended jobs: what the platform requires and a margin
+    milliseconds jobRetention {130'000}; // of ended jobs: what the platform requires and a margin
     double urgentHeadroom = 0.08; // fraction of a service's cores kept for its most urgent queue
 };
 
@@ -58,55 +62,56 @@
 {
     std::uint32_t run = 0;
     run_phase phase = run_phase::Started;
-    bool isOrderOpen = false; // a start or stop was sent and is not answered yet
-    bool isDropProposed = false; // the log is to record that the run is over without an end
-    bool mayBeThere = true; // some start order may have arrived there
+    bool isOrderPending = false; // a start or stop was sent and is not answered yet
+    bool isAbandonmentProposed = false; // the log is to record that the run is over without an end
+    bool mayHaveReachedTarget = true; // some start order may have arrived there
     time_point orderedAt;
     time_point startedAt;
     time_point retryAt;
     time_point confirmedAt; // when the target confirmed the last start or stop; 0 = not yet
     // Until then a late order to the previous incarnation may still start the run in this one.
-    time_point mayLingerUntil;
+    time_point mayStartLateUntil;
     std::string ticket;
-    int percent = 0;
-    time_point progressAt;
-    time_point seenAt; // when a poll last listed it; 0 = never
-    std::int64_t tailMs = 0; // of a task with a latency target
-    std::int64_t coresInUse = 0; // of any other task, in thousandths
-    int pace = 100; // in percent, as last ordered
+    int percentDone = 0;
+    time_point lastProgressAt;
+    time_point lastListedAt; // when a poll last listed it; 0 = never
+    std::int64_t tailLatencyMs = 0; // of a task with a latency target
+    std::int64_t milliCoresInUse = 0; // of any other task, in thousandths
+    int workRate = 100; // in percent, as last ordered
     std::string checkpoint;
 };
 
 /** What the leader knows about the current incarnation of a target beyond the replicated state. */
-struct target_conversation
+struct tracked_target
 {
     std::string id;
-    std::int64_t born = 0;
+    std::int64_t incarnation = 0;
     std::optional<std::int64_t> clockMs; // last known reading of the target's clock
-    time_point clockAt; // when that reading arrived
-    std::int64_t leaseUntil = 0; // the latest expiry that was sent, on the target's clock
-    time_point lapseBy; // by then all leases of earlier terms have expired
-    time_point heardAt; // time of the last report or answer
-    time_point answeredAt; // to an order, which shows that the connection works in both directions
+    time_point clockReadAt; // when that reading arrived
+    std::int64_t leaseExpiresAt = 0; // the latest expiry that was sent, on the target's clock
+    time_point previousLeasesExpireBy; // by then all leases of earlier terms have expired
+    time_point lastContactAt; // time of the last report or answer
+    time_point
+        lastAnswerAt; // to an order, which shows that the connection works in both directions
     bool isSuspect = false; // an order got no answer, and neither did any that was sent later
-    bool isLookOpen = false;
-    time_point lookAt; // the next poll is sent no earlier
-    time_point lookSentAt;
-    time_point lookedAt; // when the last poll was answered; 0 = it was not
-    std::uint64_t proposedEnds = 0; // number of the last reported end proposed to the log
-    std::uint64_t acknowledged = 0; // number of the last end that a poll acknowledged
-    std::uint64_t sequence = 0; // of the last report
-    resource_amounts planned; // by proposed starts
-    std::int64_t plannedFill = 0;
+    bool isPollPending = false;
+    time_point nextPollAt; // the next poll is sent no earlier
+    time_point pollSentAt;
+    time_point pollAnsweredAt; // when the last poll was answered; 0 = it was not
+    std::uint64_t lastProposedEnd = 0; // number of the last reported end proposed to the log
+    std::uint64_t lastAcknowledgedEnd = 0; // number of the last end that a poll acknowledged
+    std::uint64_t reportSequence = 0; // of the last report
+    resource_amounts reservedResources; // by proposed starts
+    std::int64_t reservedBestEffortCores = 0;
     std::map<task_name, run_view> runs;
-    std::map<task_name, std::uint32_t> strays; // runs that nobody ordered, to be stopped
+    std::map<task_name, std::uint32_t> orphanRuns; // runs that nobody ordered, to be stopped
     std::set<std::string> failedJobs; // since the last run that ended well
-    time_point avoidUntil;
-    milliseconds avoidance;
+    time_point quarantinedUntil;
+    milliseconds quarantinePeriod;
     std::optional<time_point> leavingSince; // when it reported that it ends
     time_point leavesAt; // while it drains: it stays until then
     bool isLeaveProposed = false;
-    bool isReviewDue = true; // what it runs and has ended is not fully known
+    bool isInventoryStale = true; // what it runs and has ended is not fully known
 };
 
 /** What is known about the admission of a step: the targets on which the policy service lets it
@@ -118,20 +123,20 @@
         std::string text;
         time_point issuedAt;
     };
-    std::unordered_map<std::string, ticket> admitted; // by target
-    std::unordered_set<std::string> asked; // targets named in answered requests
-    std::size_t openRequests = 0; // those without an answer yet
-    time_point notBefore;
+    std::unordered_map<std::string, ticket> tickets; // by target
+    std::unordered_set<std::string> requestedTargets; // targets named in answered requests
+    std::size_t pendingRequests = 0; // those without an answer yet
+    time_point nextRequestAt;
 };
 
 /** A request to the policy service that waits for a caller or for its answer. */
-struct open_admission
+struct pending_admission
 {
     task_name step;
     std::vector<std::string> targets;
-    milliseconds expected; // how long the call should take
+    milliseconds expectedDuration; // how long the call should take
     int priority = 0;
-    time_point since;
+    time_point requestedAt;
     std::string caller; // the process that makes the call; empty = it waits for one
     time_point sentAt;
 };
@@ -139,59 +144,60 @@
 /** A process that can call the policy service. */
 struct admission_caller
 {
-    time_point heardAt;
+    time_point lastContactAt;
     std::uint64_t process = 0; // distinguishes processes that have had the same name
-    std::uint64_t openRequest = 0;
+    std::uint64_t pendingRequest = 0;
 };
 
 /** What the leader derives from a job to decide which of its steps come next. */
 struct job_view
 {
-    std::map<std::uint32_t, time_point> begunAt; // by occurrence
+    std::map<std::uint32_t, time_point> occurrenceBegunAt; // by occurrence
     // By step: the longest path of estimates from the start of the step to the end of the job.
-    std::vector<milliseconds> chainFrom;
-    milliseconds chain; // of the whole job
-    std::set<std::pair<std::uint32_t, std::uint32_t>> open; // (occurrence, step) with waiting tasks
-    std::set<std::pair<std::uint32_t, std::uint32_t>> coming; // those soon to be pending
+    std::vector<milliseconds> criticalPathFrom;
+    milliseconds criticalPath; // of the whole job
+    std::set<std::pair<std::uint32_t, std::uint32_t>>
+        pendingSteps; // (occurrence, step) with waiting tasks
+    std::set<std::pair<std::uint32_t, std::uint32_t>> upcomingSteps; // those soon to be pending
 };
 
-enum class order_kind { Start, Stop, Look, Pace };
+enum class order_kind { Start, Stop, Poll, SetWorkRate };
 
 /** One call of a target; which of the fields apply depends on the kind. */
 struct target_order
 {
-    order_kind kind = order_kind::Look;
+    order_kind kind = order_kind::Poll;
     std::string target;
-    std::int64_t born = 0;
+    std::int64_t incarnation = 0;
     std::string address;
     task_name task;
     std::uint32_t run = 0;
     std::string spec;
     std::string checkpoint;
     std::string ticket;
-    std::int64_t leaseUntil = 0; // on the target's clock; 0 = the lease stays as it is
+    std::int64_t leaseExpiresAt = 0; // on the target's clock; 0 = the lease stays as it is
     std::uint64_t fencingToken = 0; // the leader's term
-    std::uint64_t lastEndTaken = 0; // ends up to this number are in the log
-    milliseconds wait; // how long the target may hold a poll until a run ends
-    int pace = 100;
+    std::uint64_t lastAppliedEnd = 0; // ends up to this number are in the log
+    milliseconds pollWait; // how long the target may hold a poll until a run ends
+    int workRate = 100;
     milliseconds timeout;
     time_point sentAt;
-    std::uint64_t carriedId = 0; // set if another process makes the call
+    std::uint64_t relayId = 0; // set if another process makes the call
 };
 
 enum class order_result {
     Done,
     Fenced, // the target has had an order from a leader of a later term
-    Old, // the run or a later one of its task was stopped or has ended there
-    Late, // the lease that the order granted had expired on arrival
-    NoRoom,
-    BadTicket,
+    Superseded, // the run or a later one of its task was stopped or has ended there
+    LeaseExpired, // the lease that the order granted had expired on arrival
+    NoCapacity,
+    InvalidTicket,
     Unhealthy, // the target cannot work at present
-    WrongLife, // another target or incarnation answers at this address
+    WrongIncarnation, // another target or incarnation answers at this address
     Rejected, // the target could not read the order
     Unanswered, // the order may have been carried out, or may still be
     Unreachable, // not a byte of the order was sent
-    CarrierLost, // the relay is silent: nothing is known about the target
+    RelayLost, // the relay is silent: nothing is known about the target
 };
 
 /** @return the name of a result in logs and metrics */
@@ -203,7 +209,7 @@
     task_name task;
     std::uint32_t run = 0;
     std::string checkpoint;
-    int percent = 0;
+    int percentDone = 0;
     // Tail latency in ms if the task has a latency target, else cores in use, in thousandths.
     std::int64_t gauge = 0;
 };
@@ -223,7 +229,7 @@
 {
     order_result result = order_result::Unanswered;
     std::optional<std::int64_t> clockMs;
-    std::optional<std::int64_t> born;
+    std::optional<std::int64_t> incarnation;
     std::vector<reported_run> runs;
     std::vector<reported_end> ends;
 };
@@ -250,48 +256,48 @@
     const work_state *work = nullptr;
     std::uint64_t term = 0;
     time_point leadingSince;
-    std::map<std::string, target_conversation> targets; // by id
+    std::map<std::string, tracked_target> targets; // by id
     std::map<std::string, job_view> jobs; // by id; without ended ones
-    std::map<task_name, std::string> planned; // proposed starts: target by task
+    std::map<task_name, std::string> reservedStarts; // proposed starts: target by task
     std::map<task_name, admission_view> admissions; // by step (index 0)
-    std::map<std::uint64_t, open_admission> openAdmissions;
+    std::map<std::uint64_t, pending_admission> pendingAdmissions;
     std::map<std::string, admission_caller> callers;
-    std::map<std::string, resource_amounts> teamPlanned;
-    std::map<task_name, std::string> plannedTickets;
-    std::set<std::pair<std::string, std::uint32_t>> begun; // (job, occurrence)
-    std::uint64_t lastAdmission = 0;
+    std::map<std::string, resource_amounts> teamReserved;
+    std::map<task_name, std::string> reservedTickets;
+    std::set<std::pair<std::string, std::uint32_t>> proposedOccurrences; // (job, occurrence)
+    std::uint64_t lastAdmissionId = 0;
     std::map<std::string, time_point> lostAnswers; // by target: when its last answer got lost
-    time_point forgetAt;
+    time_point nextCleanupAt;
     std::set<std::string> changedTargets; // ids of those with new events since the last tick
-    time_point targetsAt; // the next tick of all targets, not only of the changed ones
-    bool isChanged = true; // the next pass may find something to place
+    time_point nextTargetTickAt; // the next tick of all targets, not only of the changed ones
+    bool mayPlaceMore = true; // the next pass may find something to place
     // The next pass even if nothing changes: tickets and quarantines end by time alone.
-    time_point passAt;
-    time_point passNotBefore; // many pending steps make a pass long: passes are further apart then
+    time_point nextPassAt;
+    time_point earliestPassAt; // many pending steps make a pass long: passes are further apart then
     std::size_t waitingSteps = 0; // as of the last pass
     std::uint64_t passes = 0;
     dispatch_effects effects;
 };
 
 /** @return the name of a task's step: the task name with index 0 */
-inline task_name stepOf(const task_name &name)
+inline task_name stepNameOf(const task_name &name)
 {
     return {name.job, name.occurrence, name.step, 0};
 }
 
 /** @return an estimate of the target's clock that is not below its true reading
     @param target  a reading of its clock must be known */
-std::int64_t clockAtMost(const target_conversation &target, time_point now);
+std::int64_t clockUpperBound(const tracked_target &target, time_point now);
 
 /** @return an estimate of the target's clock that is not above its true reading
     @param target  a reading of its clock must be known */
-std::int64_t clockAtLeast(const target_conversation &target, time_point now);
+std::int64_t clockLowerBound(const tracked_target &target, time_point now);
 
 /** Reserves resources for a start, from its proposal until it is committed or refused. */
-void planStart(dispatch_state &state, const task_name &task, target_conversation &target);
+void reserveStart(dispatch_state &state, const task_name &task, tracked_target &target);
 
 /** Releases the reservation of a start, if there is one. */
-void unplanStart(dispatch_state &state, const task_name &task);
+void releaseStart(dispatch_state &state, const task_name &task);
 
 /** Creates the state of a new term from the replicated state.
 
@@ -303,11 +309,11 @@
 
 /** Updates the state after a command of the log was committed and applied.
     @param refused  whether applying it changed nothing */
-void afterCommand(dispatch_state &state, const messages::work_command &command, bool refused,
-                  time_point now);
+void handleCommittedCommand(dispatch_state &state, const messages::work_command &command,
+                            bool refused, time_point now);
 
 /** Does what is due: retries, polls, expired leases, occurrences, the removal of ended jobs, a
     placement pass, admission requests. */
-void stepDispatch(dispatch_state &state, time_point now, std::int64_t wallMs);
+void tickDispatch(dispatch_state &state, time_point now, std::int64_t wallMs);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/interference.cpp
+++ b/modules/filbert_dispatch/interference.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-int nextPace(double worstTail, int pace)
+int nextWorkRate(double worstTail, int pace)
 {
     if (worstTail >= nearTarget) {
         return pace > fullPace / 2 ? fullPace / 4 : 0;
@@ -25,39 +25,39 @@
     return worstTail <= calmTail ? std::min(pace + paceStep, fullPace) : pace;
 }
 
-void reviewInterference(dispatch_state &state, target_conversation &target, time_point now)
+void reviewInterference(dispatch_state &state, tracked_target &target, time_point now)
 {
     double worstTail = 0;
     for (const auto &[task, run] : target.runs) {
-        const auto &spec = specOf(state.work->jobs.at(task.job), task.step);
+        const auto &spec = stepSpecOf(state.work->jobs.at(task.job), task.step);
         if (spec.latency_target_ms() > 0 && run.phase == run_phase::Started) {
             worstTail = std::max(worstTail,
-                                 static_cast<double>(run.tailMs)
+                                 static_cast<double>(run.tailLatencyMs)
                                      / static_cast<double>(spec.latency_target_ms()));
         }
     }
-    const auto &life = state.work->lives.at(target.id);
+    const auto &life = state.work->targets.at(target.id);
     for (auto &[task, run] : target.runs) {
-        const auto &spec = specOf(state.work->jobs.at(task.job), task.step);
+        const auto &spec = stepSpecOf(state.work->jobs.at(task.job), task.step);
         if (!spec.fills_gaps() || run.phase != run_phase::Started) {
             continue;
         }
-        const auto pace = nextPace(worstTail, run.pace);
-        if (pace == run.pace) {
+        const auto pace = nextWorkRate(worstTail, run.workRate);
+        if (pace == run.workRate) {
             continue;
         }
         log_line {"pace_changed"}
-            .with("task", textOf(task))
+            .with("task", toString(task))
             .with("target", target.id)
             .with("worst_tail_share", worstTail)
-            .with("from_percent", run.pace)
+            .with("from_percent", run.workRate)
             .with("to_percent", pace);
-        run.pace = pace;
-        run.progressAt = now;
-        auto order = orderFor(state, target, life, order_kind::Pace, now);
+        run.workRate = pace;
+        run.lastProgressAt = now;
+        auto order = orderFor(state, target, life, order_kind::SetWorkRate, now);
         order.task = task;
         order.run = run.run;
-        order.pace = pace;
+        order.workRate = pace;
         state.effects.orders.push_back(std::move(order));
     }
 }
--- a/modules/filbert_dispatch/interference.h
+++ b/modules/filbert_dispatch/interference.h
@@ -9,7 +9,7 @@
 
     @param target  as its last poll has shown it
 */
-void reviewInterference(dispatch_state &state, target_conversation &target, time_point now);
+void reviewInterference(dispatch_state &state, tracked_target &target, time_point now);
 
 /** Decides the work rate of best-effort runs on a target.
 
@@ -17,6 +17,6 @@
     @param pace       the present work rate in percent
     @return the new work rate in percent
 */
-int nextPace(double worstTail, int pace);
+int nextWorkRate(double worstTail, int pace);
 
 } // namespace filbert
