--- a/modules/filbert_dispatch/placement_pass.cpp
+++ b/modules/filbert_dispatch/placement_pass.cpp
@@ -16,35 +16,35 @@
 constexpr double sameTargetCost =
     4.0; // of long-running tasks: the end of one target must not stop many
 
-bool hasLabel(const room_view &room, const std::string &label)
+bool hasLabel(const placement_candidate &room, const std::string &label)
 {
-    const auto &labels = room.life->about.labels();
+    const auto &labels = room.life->registration.labels();
     return label.empty() || std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-void addRoom(service_view &view, target_conversation &target, const life_record &life)
+void addRoom(service_view &view, tracked_target &target, const registered_target &life)
 {
-    room_view room;
+    placement_candidate room;
     room.target = &target;
     room.life = &life;
-    room.capacity = amountsOf(life.about.capacity());
-    room.left = room.capacity - life.used - target.planned;
-    room.unusedCores = room.left.milliCores - life.fillCores - target.plannedFill;
-    const auto &labels = life.about.labels();
+    room.capacity = amountsOf(life.registration.capacity());
+    room.free = room.capacity - life.used - target.reservedResources;
+    room.unusedCores = room.free.milliCores - life.bestEffortCores - target.reservedBestEffortCores;
+    const auto &labels = life.registration.labels();
     room.rack =
         labels.size() > 1 ? std::string_view {labels.Get(labels.size() - 1)} : std::string_view {};
     view.totalCores += room.capacity.milliCores;
     view.freeCores += std::max<std::int64_t>(room.unusedCores, 0);
-    view.mostCores = std::max(view.mostCores, room.left.milliCores);
-    view.mostAccelerators = std::max(view.mostAccelerators, room.left.accelerators);
-    view.byId.emplace(target.id, view.rooms.size());
-    view.rooms.push_back(room);
+    view.maxFreeCores = std::max(view.maxFreeCores, room.free.milliCores);
+    view.maxFreeAccelerators = std::max(view.maxFreeAccelerators, room.free.accelerators);
+    view.candidateById.emplace(target.id, view.candidates.size());
+    view.candidates.push_back(room);
 }
 
-int countOnTarget(const open_step &step, const std::string &target)
+int countOnTarget(const pending_step &step, const std::string &target)
 {
-    const auto found = step.onTarget.find(target);
-    return found == step.onTarget.end() ? 0 : found->second;
+    const auto found = step.tasksByTarget.find(target);
+    return found == step.tasksByTarget.end() ? 0 : found->second;
 }
 
 } // namespace
@@ -63,9 +63,9 @@
     }
     auto &view = pass.services[service];
     for (auto &[id, target] : pass.state.targets) {
-        const auto life = pass.state.work->lives.find(id);
-        if (life != pass.state.work->lives.end() && life->second.about.service() == service
-            && takesWork(pass.state, target, life->second, pass.now)) {
+        const auto life = pass.state.work->targets.find(id);
+        if (life != pass.state.work->targets.end() && life->second.registration.service() == service
+            && acceptsWork(pass.state, target, life->second, pass.now)) {
             addRoom(view, target, life->second);
         }
     }
@@ -77,8 +77,8 @@
     return view;
 }
 
-std::unordered_map<std::string_view, int> countsOnTargets(const placement_pass &pass,
-                                                          const task_name &step)
+std::unordered_map<std::string_view, int> countTasksByTarget(const placement_pass &pass,
+                                                             const task_name &step)
 {
     std::unordered_map<std::string_view, int> counts;
     const auto &record = *findStep(*pass.state.work, step);
@@ -90,37 +90,39 @@
             continue;
         }
         name.index = i;
-        const auto planned = pass.state.planned.find(name);
-        if (planned != pass.state.planned.end()) {
+        const auto planned = pass.state.reservedStarts.find(name);
+        if (planned != pass.state.reservedStarts.end()) {
             ++counts[planned->second];
         }
     }
     return counts;
 }
 
-bool mindsCounts(const messages::step_spec &spec)
+bool dependsOnTaskCounts(const messages::step_spec &spec)
 {
     return spec.lasts() || spec.max_per_target() > 0;
 }
 
-bool isEligible(const open_step &step, const room_view &room)
+bool isEligible(const pending_step &step, const placement_candidate &room)
 {
     return room.reservedRank >= step.rank && fits(step.need, room.capacity)
         && hasLabel(room, step.spec->required_label());
 }
 
-bool hasRoomFor(const placement_pass &pass, const open_step &step, const service_view &service,
-                const room_view &room)
+bool hasCapacityFor(const placement_pass &pass, const pending_step &step,
+                    const service_view &service, const placement_candidate &room)
 {
-    if (!fits(step.need, room.left)) {
+    if (!fits(step.need, room.free)) {
         return false;
     }
     const auto &spec = *step.spec;
     if (spec.fills_gaps()) {
         const auto wanted = static_cast<double>(spec.need().milli_cores()) * fillShare;
-        return room.life->serving == 0 && static_cast<double>(room.unusedCores) >= wanted;
+        return room.life->latencySensitiveRuns == 0
+            && static_cast<double>(room.unusedCores) >= wanted;
     }
-    if (spec.latency_target_ms() > 0 && room.life->fillCores + room.target->plannedFill > 0) {
+    if (spec.latency_target_ms() > 0
+        && room.life->bestEffortCores + room.target->reservedBestEffortCores > 0) {
         return false;
     }
     if (spec.max_per_target() > 0
@@ -135,16 +137,16 @@
     return static_cast<double>(service.freeCores - spec.need().milli_cores()) >= kept;
 }
 
-double fitCost(const open_step &step, const room_view &room)
+double fitCost(const pending_step &step, const placement_candidate &room)
 {
     const auto &spec = *step.spec;
     const auto cores = std::max<double>(static_cast<double>(room.capacity.milliCores), 1.0);
-    double cost = static_cast<double>(room.left.accelerators - step.need.accelerators);
+    double cost = static_cast<double>(room.free.accelerators - step.need.accelerators);
     if (spec.fills_gaps()) {
         cost -= static_cast<double>(room.unusedCores) / cores;
     } else {
-        cost += static_cast<double>(room.left.milliCores - step.need.milliCores) / cores;
-        cost += static_cast<double>(room.life->fillCores) / cores;
+        cost += static_cast<double>(room.free.milliCores - step.need.milliCores) / cores;
+        cost += static_cast<double>(room.life->bestEffortCores) / cores;
     }
     if (!spec.data_rack().empty() && spec.data_rack() != room.rack) {
         cost += farFromDataCost;
@@ -155,50 +157,51 @@
     return cost;
 }
 
-bool isWithinTeamCap(const placement_pass &pass, const open_step &step, std::size_t tasks)
+bool isWithinTeamCap(const placement_pass &pass, const pending_step &step, std::size_t tasks)
 {
     const auto &team = step.job->job.team();
     const auto *configured = findTeam(pass.state.work->configuration, team);
     if (configured == nullptr) {
         return true; // the queue is open to all, so that the job has no team
     }
-    auto use = timesOf(wholeNeedOf(*step.spec), tasks);
+    auto use = scaledBy(taskDemand(*step.spec), tasks);
     const auto add = [&](const std::map<std::string, resource_amounts> &uses) {
         const auto found = uses.find(team);
         if (found != uses.end()) {
             use += found->second;
         }
     };
-    add(pass.state.work->teamUse);
-    add(pass.state.teamPlanned);
+    add(pass.state.work->teamUsage);
+    add(pass.state.teamReserved);
     return isWithinCap(use, configured->cap());
 }
 
-const admission_view *admissionOf(const placement_pass &pass, const open_step &step)
+const admission_view *admissionOf(const placement_pass &pass, const pending_step &step)
 {
     const auto view = pass.state.admissions.find(step.name);
     return view == pass.state.admissions.end() ? nullptr : &view->second;
 }
 
-bool isAdmitted(const open_step &step, const admission_view *view, const room_view &room)
+bool isAdmitted(const pending_step &step, const admission_view *view,
+                const placement_candidate &room)
 {
     return !step.queue->has_admission()
-        || (view != nullptr && view->admitted.contains(room.target->id));
+        || (view != nullptr && view->tickets.contains(room.target->id));
 }
 
-void bookPlan(placement_pass &pass, open_step &step, service_view &service, room_view &room,
-              const task_name &task, int sign)
+void updateReservation(placement_pass &pass, pending_step &step, service_view &service,
+                       placement_candidate &room, const task_name &task, int sign)
 {
     const auto cores = step.spec->need().milli_cores();
-    if (mindsCounts(*step.spec)) {
-        step.onTarget[room.target->id] += sign;
+    if (dependsOnTaskCounts(*step.spec)) {
+        step.tasksByTarget[room.target->id] += sign;
     }
     if (sign > 0) {
-        planStart(pass.state, task, *room.target);
-        room.left -= step.need;
+        reserveStart(pass.state, task, *room.target);
+        room.free -= step.need;
     } else {
-        unplanStart(pass.state, task);
-        room.left += step.need;
+        releaseStart(pass.state, task);
+        room.free += step.need;
     }
     room.unusedCores -= sign * cores;
     service.freeCores -= sign * cores;
--- a/modules/filbert_dispatch/placement_pass.h
+++ b/modules/filbert_dispatch/placement_pass.h
@@ -8,14 +8,14 @@
 
 namespace filbert {
 
-constexpr int lateRank = 3; // added to a priority (0 to 2): late work ranks after all other
-constexpr int notReserved = std::numeric_limits<int>::max();
+constexpr int lateRankOffset = 3; // added to a priority (0 to 2): late work ranks after all other
+constexpr int noReservation = std::numeric_limits<int>::max();
 
 /** The configured queues by name. */
 using queue_index = std::unordered_map<std::string_view, const messages::work_queue *>;
 
 /** A step with waiting tasks, as a placement pass sees it. */
-struct open_step
+struct pending_step
 {
     task_name name; // index 0
     const work_job *job = nullptr;
@@ -24,33 +24,33 @@
     resource_amounts need; // what a task reserves on its target
     int rank = 0; // the lowest goes first; see lateRankOffset
     std::int64_t slackMs = 0;
-    std::unordered_map<std::string_view, int> onTarget; // only if dependsOnTaskCounts()
+    std::unordered_map<std::string_view, int> tasksByTarget; // only if dependsOnTaskCounts()
 };
 
 /** A target that takes work, as a placement pass sees it. */
-struct room_view
+struct placement_candidate
 {
-    target_conversation *target = nullptr;
-    const life_record *life = nullptr;
+    tracked_target *target = nullptr;
+    const registered_target *life = nullptr;
     resource_amounts capacity;
-    resource_amounts left; // neither used by runs nor reserved for starts
+    resource_amounts free; // neither used by runs nor reserved for starts
     std::int64_t unusedCores = 0; // those of the free cores that best-effort runs do not use either
     std::string_view rack; // points into the labels of the registration, which outlive the pass
-    int reservedRank = notReserved; // work of a higher rank number is not placed here
+    int reservedRank = noReservation; // work of a higher rank number is not placed here
 };
 
 /** The targets of one service, as a placement pass sees them. */
 struct service_view
 {
-    std::vector<room_view> rooms;
-    std::unordered_map<std::string, std::size_t> byId;
+    std::vector<placement_candidate> candidates;
+    std::unordered_map<std::string, std::size_t> candidateById;
     // Upper bounds of what is free on any one target: free resources only shrink during a pass.
-    std::int64_t mostCores = 0;
-    std::int64_t mostAccelerators = 0;
+    std::int64_t maxFreeCores = 0;
+    std::int64_t maxFreeAccelerators = 0;
     std::int64_t totalCores = 0;
     std::int64_t freeCores = 0;
-    std::size_t failures = 0; // steps for which there was no capacity
-    std::size_t reservedRooms = 0;
+    std::size_t unplacedSteps = 0; // steps for which there was no capacity
+    std::size_t reservedCandidates = 0;
     int urgentPriority = std::numeric_limits<int>::max();
 };
 
@@ -68,38 +68,39 @@
 service_view &serviceOf(placement_pass &pass, const std::string &service);
 
 /** @return by target: how many tasks of the step run there or have a reservation */
-std::unordered_map<std::string_view, int> countsOnTargets(const placement_pass &pass,
-                                                          const task_name &step);
+std::unordered_map<std::string_view, int> countTasksByTarget(const placement_pass &pass,
+                                                             const task_name &step);
 
 /** Whether placement depends on how many tasks of the step a target already has. */
-bool mindsCounts(const messages::step_spec &spec);
+bool dependsOnTaskCounts(const messages::step_spec &spec);
 
 /** Whether a target could take a task of the step if it were empty: by capacity, label and
     reservations, not by policy. */
-bool isEligible(const open_step &step, const room_view &room);
+bool isEligible(const pending_step &step, const placement_candidate &room);
 
 /** Whether a target has free capacity for a task of the step now, also under the rules for
     best-effort and latency-sensitive tasks, tasks per target and urgent headroom. */
-bool hasRoomFor(const placement_pass &pass, const open_step &step, const service_view &service,
-                const room_view &room);
+bool hasCapacityFor(const placement_pass &pass, const pending_step &step,
+                    const service_view &service, const placement_candidate &room);
 
 /** @return the cost of placing a task of the step on a target; the lowest is the best fit */
-double fitCost(const open_step &step, const room_view &room);
+double fitCost(const pending_step &step, const placement_candidate &room);
 
 /** Whether the job's team stays within its cap if so many more tasks of the step start. */
-bool isWithinTeamCap(const placement_pass &pass, const open_step &step, std::size_t tasks);
+bool isWithinTeamCap(const placement_pass &pass, const pending_step &step, std::size_t tasks);
 
 /** @return what is known about the admission of the step, or nullptr */
-const admission_view *admissionOf(const placement_pass &pass, const open_step &step);
+const admission_view *admissionOf(const placement_pass &pass, const pending_step &step);
 
 /** Whether the step is known to be admitted to a target, or needs no admission.
     @param view  the result of admissionOf() for the step */
-bool isAdmitted(const open_step &step, const admission_view *view, const room_view &room);
+bool isAdmitted(const pending_step &step, const admission_view *view,
+                const placement_candidate &room);
 
 /** Reserves a start on a target, in this pass and in the state, or releases it.
     @param sign  1 to reserve, -1 to release */
-void bookPlan(placement_pass &pass, open_step &step, service_view &service, room_view &room,
-              const task_name &task, int sign);
+void updateReservation(placement_pass &pass, pending_step &step, service_view &service,
+                       placement_candidate &room, const task_name &task, int sign);
 
 /** Whether a need fits into free resources. */
 bool fits(const resource_amounts &need, const resource_amounts &room);
--- a/modules/filbert_dispatch/preemption.cpp
+++ b/modules/filbert_dispatch/preemption.cpp
@@ -21,7 +21,7 @@
 /** How a target gets the capacity for one more member. */
 struct room_plan
 {
-    room_view *room = nullptr;
+    placement_candidate *room = nullptr;
     std::vector<task_name> victims; // runs to stop; none = it has the capacity, or runs there are
                                     // already being stopped
 };
@@ -31,33 +31,33 @@
     return run.phase == run_phase::Stopping;
 }
 
-bool mayBeStopped(const placement_pass &pass, const open_step &step, const task_name &task,
+bool mayBeStopped(const placement_pass &pass, const pending_step &step, const task_name &task,
                   const run_view &run)
 {
     const auto view = pass.state.jobs.find(task.job);
     if (run.phase != run_phase::Started || view == pass.state.jobs.end() || run.run > mostRuns) {
         return false;
     }
-    const auto &spec = specOf(pass.state.work->jobs.at(task.job), task.step);
+    const auto &spec = stepSpecOf(pass.state.work->jobs.at(task.job), task.step);
     if (spec.lasts() || spec.is_gang() || spec.fills_gaps() || !spec.checkpoints()) {
         return false;
     }
-    const auto other = openStepOf(pass.state, pass.queues, task, view->second, pass.now);
+    const auto other = pendingStepOf(pass.state, pass.queues, task, view->second, pass.now);
     return other.queue->priority() > step.queue->priority() && other.slackMs > slackToSpare.count;
 }
 
 resource_amounts needOf(const placement_pass &pass, const task_name &task)
 {
-    return reservedBy(specOf(pass.state.work->jobs.at(task.job), task.step));
+    return targetReservation(stepSpecOf(pass.state.work->jobs.at(task.job), task.step));
 }
 
 /** @return the runs to stop for one member, chosen from the largest on, or nothing if stopping all
     of them would not be enough */
-std::optional<room_plan> planRoom(const placement_pass &pass, const open_step &step,
-                                  room_view &room)
+std::optional<room_plan> planRoom(const placement_pass &pass, const pending_step &step,
+                                  placement_candidate &room)
 {
     room_plan plan {&room, {}};
-    auto left = room.left;
+    auto left = room.free;
     std::vector<std::pair<resource_amounts, task_name>> candidates;
     for (const auto &[task, run] : room.target->runs) {
         if (isStopping(run)) {
@@ -82,7 +82,7 @@
 
 } // namespace
 
-bool preemptFor(placement_pass &pass, const open_step &step, service_view &service,
+bool preemptFor(placement_pass &pass, const pending_step &step, service_view &service,
                 std::size_t members)
 {
     if (step.slackMs > slackOfUrgency.count) {
@@ -90,8 +90,8 @@
     }
     const auto *view = admissionOf(pass, step);
     std::vector<room_plan> plans;
-    for (auto &room : service.rooms) {
-        if (room.reservedRank != notReserved || !isEligible(step, room)
+    for (auto &room : service.candidates) {
+        if (room.reservedRank != noReservation || !isEligible(step, room)
             || !isAdmitted(step, view, room)) {
             continue;
         }
--- a/modules/filbert_dispatch/preemption.h
+++ b/modules/filbert_dispatch/preemption.h
@@ -18,7 +18,7 @@
     @param members  how many start together
     @return whether there will be capacity for all members
 */
-bool preemptFor(placement_pass &pass, const open_step &step, service_view &service,
+bool preemptFor(placement_pass &pass, const pending_step &step, service_view &service,
                 std::size_t members);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/scheduling.cpp
+++ b/modules/filbert_dispatch/scheduling.cpp
@@ -20,22 +20,22 @@
 constexpr double acceleratorWeight = 1e6; // accelerators count first, then thousandths of a core
 
 /** @return the indices of the candidates with free resources on which the step is admitted now */
-std::vector<std::size_t> candidatesFor(const placement_pass &pass, const open_step &step,
+std::vector<std::size_t> candidatesFor(const placement_pass &pass, const pending_step &step,
                                        const service_view &service)
 {
     std::vector<std::size_t> rooms;
-    if (step.need.milliCores > service.mostCores
-        || step.need.accelerators > service.mostAccelerators) {
+    if (step.need.milliCores > service.maxFreeCores
+        || step.need.accelerators > service.maxFreeAccelerators) {
         return rooms;
     }
     const auto consider = [&](std::size_t index) {
-        const auto &room = service.rooms[index];
-        if (fits(step.need, room.left) && isEligible(step, room)) {
+        const auto &room = service.candidates[index];
+        if (fits(step.need, room.free) && isEligible(step, room)) {
             rooms.push_back(index);
         }
     };
     if (!step.queue->has_admission()) {
-        for (std::size_t i = 0; i < service.rooms.size(); ++i) {
+        for (std::size_t i = 0; i < service.candidates.size(); ++i) {
             consider(i);
         }
         return rooms;
@@ -44,24 +44,25 @@
     if (view == nullptr) {
         return rooms;
     }
-    for (const auto &[id, ticket] : view->admitted) {
-        const bool isGood = isUsable(pass.state, ticket, step.queue->admission(), pass.now);
-        const auto room = isGood ? service.byId.find(id) : service.byId.end();
-        if (room != service.byId.end()) {
+    for (const auto &[id, ticket] : view->tickets) {
+        const bool isGood = isTicketUsable(pass.state, ticket, step.queue->admission(), pass.now);
+        const auto room = isGood ? service.candidateById.find(id) : service.candidateById.end();
+        if (room != service.candidateById.end()) {
             consider(room->second);
         }
     }
     return rooms;
 }
 
-room_view *bestRoom(placement_pass &pass, const open_step &step, service_view &service,
-                    const std::vector<std::size_t> &candidates, const std::string_view *rack)
+placement_candidate *bestRoom(placement_pass &pass, const pending_step &step, service_view &service,
+                              const std::vector<std::size_t> &candidates,
+                              const std::string_view *rack)
 {
-    room_view *best = nullptr;
+    placement_candidate *best = nullptr;
     double bestCost = 0;
     for (const auto index : candidates) {
-        auto &room = service.rooms[index];
-        if ((rack != nullptr && room.rack != *rack) || !hasRoomFor(pass, step, service, room)) {
+        auto &room = service.candidates[index];
+        if ((rack != nullptr && room.rack != *rack) || !hasCapacityFor(pass, step, service, room)) {
             continue;
         }
         const auto cost = fitCost(step, room);
@@ -73,63 +74,63 @@
     return best;
 }
 
-void proposeStart(placement_pass &pass, const open_step &step, const room_view &room,
+void proposeStart(placement_pass &pass, const pending_step &step, const placement_candidate &room,
                   const task_name &task, std::uint32_t run, const std::string &checkpoint)
 {
     if (step.queue->has_admission()) {
-        const auto *ticket = usableTicket(pass.state, *admissionOf(pass, step),
-                                          step.queue->admission(), room.target->id, pass.now);
+        const auto *ticket = findUsableTicket(pass.state, *admissionOf(pass, step),
+                                              step.queue->admission(), room.target->id, pass.now);
         FILBERT_INVARIANT(ticket != nullptr, "a start under a policy has a ticket");
-        pass.state.plannedTickets[task] = *ticket;
+        pass.state.reservedTickets[task] = *ticket;
     }
     log_line {"placed"}
-        .with("task", textOf(task))
+        .with("task", toString(task))
         .with("run", run)
         .with("target", room.target->id)
         .with("rank", step.rank)
         .with("slack_ms", step.slackMs)
-        .with("room_milli_cores", room.left.milliCores)
-        .with("heard_ms_ago", (pass.now - room.target->heardAt).count);
+        .with("room_milli_cores", room.free.milliCores)
+        .with("heard_ms_ago", (pass.now - room.target->lastContactAt).count);
     messages::work_command command;
     auto *start = command.mutable_start();
-    *start->mutable_task() = referenceTo(task);
+    *start->mutable_task() = toTaskReference(task);
     start->set_run(run);
     start->set_target(room.target->id);
-    start->set_born(room.target->born);
+    start->set_born(room.target->incarnation);
     start->set_checkpoint(checkpoint);
     pass.state.effects.commands.push_back(std::move(command));
 }
 
 /** Reserves the targets with the most free resources for a step that found no capacity, so that
     work that ranks after it does not take them. */
-void reserveFor(const placement_pass &pass, const open_step &step, service_view &service,
+void reserveFor(const placement_pass &pass, const pending_step &step, service_view &service,
                 std::size_t tasks)
 {
-    const auto most = service.rooms.size() / reservedPart + 1;
-    if (step.spec->fills_gaps() || step.spec->lasts() || step.rank >= lateRank
-        || service.reservedRooms >= most) {
+    const auto most = service.candidates.size() / reservedPart + 1;
+    if (step.spec->fills_gaps() || step.spec->lasts() || step.rank >= lateRankOffset
+        || service.reservedCandidates >= most) {
         return;
     }
     const auto *view = admissionOf(pass, step);
     std::vector<std::pair<double, std::size_t>> wanted;
-    for (std::size_t i = 0; i < service.rooms.size(); ++i) {
-        const auto &room = service.rooms[i];
-        if (isAdmitted(step, view, room) && room.reservedRank == notReserved
+    for (std::size_t i = 0; i < service.candidates.size(); ++i) {
+        const auto &room = service.candidates[i];
+        if (isAdmitted(step, view, room) && room.reservedRank == noReservation
             && isEligible(step, room)) {
-            wanted.emplace_back(-static_cast<double>(room.left.accelerators) * acceleratorWeight
-                                    - static_cast<double>(room.left.milliCores),
+            wanted.emplace_back(-static_cast<double>(room.free.accelerators) * acceleratorWeight
+                                    - static_cast<double>(room.free.milliCores),
                                 i);
         }
     }
     std::sort(wanted.begin(), wanted.end());
-    const auto count = std::min({tasks, wanted.size(), most - service.reservedRooms});
+    const auto count = std::min({tasks, wanted.size(), most - service.reservedCandidates});
     for (std::size_t i = 0; i < count; ++i) {
-        service.rooms[wanted[i].second].reservedRank = step.rank;
+        service.candidates[wanted[i].second].reservedRank = step.rank;
     }
-    service.reservedRooms += count;
+    service.reservedCandidates += count;
 }
 
-void placeSingly(placement_pass &pass, open_step &step, service_view &service)
+void placeSingly(placement_pass &pass, pending_step &step, service_view &service)
 {
     const auto &record = *findStep(*pass.state.work, step.name);
     std::size_t unplaced = 0;
@@ -141,7 +142,7 @@
         }
         auto name = step.name;
         name.index = i;
-        if (pass.state.planned.contains(name)) {
+        if (pass.state.reservedStarts.contains(name)) {
             continue;
         }
         if (!isWithinTeamCap(pass, step, 1)) {
@@ -156,20 +157,20 @@
             continue;
         }
         proposeStart(pass, step, *room, name, task.run + 1, task.checkpoint);
-        bookPlan(pass, step, service, *room, name, 1);
+        updateReservation(pass, step, service, *room, name, 1);
     }
     if (unplaced > 0) {
-        ++service.failures;
+        ++service.unplacedSteps;
         reserveFor(pass, step, service, unplaced);
-        askAdmission(pass, step, service);
+        requestTickets(pass, step, service);
     }
 }
 
-using gang_plan = std::vector<std::pair<task_name, room_view *>>;
+using gang_plan = std::vector<std::pair<task_name, placement_candidate *>>;
 
 /** Reserves a start for each member of a gang, or for none.
     @param rack  to stay in; nullptr = any */
-gang_plan bookGang(placement_pass &pass, open_step &step, service_view &service,
+gang_plan bookGang(placement_pass &pass, pending_step &step, service_view &service,
                    const std::vector<std::size_t> &candidates, std::size_t members,
                    const std::string_view *rack)
 {
@@ -180,24 +181,24 @@
         auto *room = bestRoom(pass, step, service, candidates, rack);
         if (room == nullptr) {
             for (const auto &[task, taken] : plan) {
-                bookPlan(pass, step, service, *taken, task, -1);
+                updateReservation(pass, step, service, *taken, task, -1);
             }
             return {};
         }
-        bookPlan(pass, step, service, *room, name, 1);
+        updateReservation(pass, step, service, *room, name, 1);
         plan.emplace_back(name, room);
     }
     return plan;
 }
 
-gang_plan planGang(placement_pass &pass, open_step &step, service_view &service,
+gang_plan planGang(placement_pass &pass, pending_step &step, service_view &service,
                    std::size_t members)
 {
     const auto candidates = candidatesFor(pass, step, service);
     if (step.spec->same_rack()) {
         std::set<std::string_view> racks;
         for (const auto index : candidates) {
-            racks.insert(service.rooms[index].rack);
+            racks.insert(service.candidates[index].rack);
         }
         for (const auto &rack : racks) {
             auto plan = bookGang(pass, step, service, candidates, members, &rack);
@@ -209,21 +210,21 @@
     return bookGang(pass, step, service, candidates, members, nullptr);
 }
 
-void placeGang(placement_pass &pass, open_step &step, service_view &service)
+void placeGang(placement_pass &pass, pending_step &step, service_view &service)
 {
     const auto &record = *findStep(*pass.state.work, step.name);
-    if (record.running > 0 || pass.state.planned.contains(step.name)
+    if (record.runningTasks > 0 || pass.state.reservedStarts.contains(step.name)
         || !isWithinTeamCap(pass, step, record.tasks.size())) {
         return;
     }
     const auto plan = planGang(pass, step, service, record.tasks.size());
     if (plan.empty()) {
-        ++service.failures;
-        const bool isLate = step.rank >= lateRank;
+        ++service.unplacedSteps;
+        const bool isLate = step.rank >= lateRankOffset;
         if (isLate || !preemptFor(pass, step, service, record.tasks.size())) {
             reserveFor(pass, step, service, record.tasks.size());
         }
-        askAdmission(pass, step, service);
+        requestTickets(pass, step, service);
         return;
     }
     std::uint32_t run = 0;
@@ -239,23 +240,23 @@
 
 } // namespace
 
-void placeWaiting(dispatch_state &state, time_point now)
+void placeWaitingTasks(dispatch_state &state, time_point now)
 {
     placement_pass pass {state, now, queuesOf(state), {}};
     ++state.passes;
-    auto steps = openSteps(state, pass.queues, now);
+    auto steps = pendingStepsInOrder(state, pass.queues, now);
     state.waitingSteps = steps.size();
     for (auto &step : steps) {
         auto &service = serviceOf(pass, step.queue->service());
         // After many steps without capacity, each further step is tried only in one of several
         // passes.
-        const bool isSkipped = service.failures >= failuresPerPass
+        const bool isSkipped = service.unplacedSteps >= failuresPerPass
             && (std::hash<std::string> {}(step.name.job) + state.passes) % passesPerTurn != 0;
         if (isSkipped) {
             continue;
         }
-        if (mindsCounts(*step.spec)) {
-            step.onTarget = countsOnTargets(pass, step.name);
+        if (dependsOnTaskCounts(*step.spec)) {
+            step.tasksByTarget = countTasksByTarget(pass, step.name);
         }
         if (step.spec->is_gang()) {
             placeGang(pass, step, service);
@@ -264,8 +265,9 @@
         }
     }
     for (const auto &[id, view] : state.jobs) {
-        for (const auto &[occurrence, step] : view.coming) {
-            askAhead(pass, openStepOf(state, pass.queues, {id, occurrence, step, 0}, view, now));
+        for (const auto &[occurrence, step] : view.upcomingSteps) {
+            prefetchTickets(
+                pass, pendingStepOf(state, pass.queues, {id, occurrence, step, 0}, view, now));
         }
     }
 }
--- a/modules/filbert_dispatch/scheduling.h
+++ b/modules/filbert_dispatch/scheduling.h
@@ -12,13 +12,13 @@
     large blocks of free capacity stay whole. A step that finds no capacity reserves targets against
     work that ranks after it. Gangs start as a whole.
 */
-void placeWaiting(dispatch_state &state, time_point now);
+void placeWaitingTasks(dispatch_state &state, time_point now);
 
 /** Updates the view of a job: which of its steps have tasks to place. Call it whenever the job has
     changed. */
 void refreshJob(dispatch_state &state, const std::string &id, time_point now);
 
 /** @return by step: the length of the critical path from its start to the end of the job */
-std::vector<milliseconds> chainsOf(const messages::staged_job &job);
+std::vector<milliseconds> criticalPathsOf(const messages::staged_job &job);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/step_order.cpp
+++ b/modules/filbert_dispatch/step_order.cpp
@@ -12,48 +12,48 @@
 bool isOpen(const work_job &job, const occurrence_record &occurrence, std::uint32_t step)
 {
     const auto &record = occurrence.steps[step];
-    const auto &spec = specOf(job, step);
+    const auto &spec = stepSpecOf(job, step);
     if (isStepDone(spec, record) || !isStepReady(job, occurrence, step)) {
         return false;
     }
-    return record.done + record.running < record.tasks.size();
+    return record.doneTasks + record.runningTasks < record.tasks.size();
 }
 
 /** Whether all tasks of the steps that a step depends on have started, and half of them are done.
  */
 bool isComing(const work_job &job, const occurrence_record &occurrence, std::uint32_t step)
 {
-    const auto &needed = specOf(job, step).depends_on();
+    const auto &needed = stepSpecOf(job, step).depends_on();
     return !isStepReady(job, occurrence, step)
         && std::all_of(needed.begin(), needed.end(), [&](std::int32_t each) {
                const auto index = static_cast<std::uint32_t>(each);
                const auto &record = occurrence.steps[index];
-               return isStepDone(specOf(job, index), record)
-                   || (record.done + record.running == record.tasks.size()
-                       && record.done * 2 >= record.tasks.size());
+               return isStepDone(stepSpecOf(job, index), record)
+                   || (record.doneTasks + record.runningTasks == record.tasks.size()
+                       && record.doneTasks * 2 >= record.tasks.size());
            });
 }
 
 } // namespace
 
-open_step openStepOf(const dispatch_state &state, const queue_index &queues, const task_name &name,
-                     const job_view &view, time_point now)
+pending_step pendingStepOf(const dispatch_state &state, const queue_index &queues,
+                           const task_name &name, const job_view &view, time_point now)
 {
-    open_step open;
+    pending_step open;
     const auto &job = state.work->jobs.at(name.job);
     const auto configured = queues.find(job.job.queue());
     open.name = name;
     open.job = &job;
-    open.spec = &specOf(job, name.step);
+    open.spec = &stepSpecOf(job, name.step);
     open.queue = configured == queues.end() ? &job.job.taken_under() : configured->second;
-    open.need = reservedBy(*open.spec);
-    const auto objective = milliseconds {std::llround(static_cast<double>(view.chain.count)
+    open.need = targetReservation(*open.spec);
+    const auto objective = milliseconds {std::llround(static_cast<double>(view.criticalPath.count)
                                                       * open.queue->slack_factor())}
         + milliseconds {open.queue->latency_objective_ms()};
-    const auto left = view.chainFrom[name.step];
-    open.slackMs = (view.begunAt.at(name.occurrence) + objective - now - left).count;
+    const auto left = view.criticalPathFrom[name.step];
+    open.slackMs = (view.occurrenceBegunAt.at(name.occurrence) + objective - now - left).count;
     const bool isLate = !open.spec->lasts() && open.slackMs < -left.count / 2;
-    open.rank = open.queue->priority() + (isLate ? lateRank : 0);
+    open.rank = open.queue->priority() + (isLate ? lateRankOffset : 0);
     return open;
 }
 
@@ -66,22 +66,22 @@
     return queues;
 }
 
-std::vector<open_step> openSteps(const dispatch_state &state, const queue_index &queues,
-                                 time_point now)
+std::vector<pending_step> pendingStepsInOrder(const dispatch_state &state,
+                                              const queue_index &queues, time_point now)
 {
-    std::vector<open_step> steps;
+    std::vector<pending_step> steps;
     for (const auto &[id, view] : state.jobs) {
-        for (const auto &[occurrence, step] : view.open) {
-            steps.push_back(openStepOf(state, queues, {id, occurrence, step, 0}, view, now));
+        for (const auto &[occurrence, step] : view.pendingSteps) {
+            steps.push_back(pendingStepOf(state, queues, {id, occurrence, step, 0}, view, now));
         }
     }
-    std::sort(steps.begin(), steps.end(), [](const open_step &a, const open_step &b) {
+    std::sort(steps.begin(), steps.end(), [](const pending_step &a, const pending_step &b) {
         return std::tie(a.rank, a.slackMs) < std::tie(b.rank, b.slackMs);
     });
     return steps;
 }
 
-std::vector<milliseconds> chainsOf(const messages::staged_job &job)
+std::vector<milliseconds> criticalPathsOf(const messages::staged_job &job)
 {
     std::vector<milliseconds> chains(static_cast<std::size_t>(job.steps_size()));
     for (int step = job.steps_size() - 1; step >= 0; --step) {
@@ -98,32 +98,34 @@
 void refreshJob(dispatch_state &state, const std::string &id, time_point now)
 {
     const auto job = state.work->jobs.find(id);
-    if (job == state.work->jobs.end() || job->second.isEnded()) {
+    if (job == state.work->jobs.end() || job->second.hasEnded()) {
         state.jobs.erase(id);
         for (auto view = state.admissions.lower_bound({id, 0, 0, 0});
              view != state.admissions.end() && view->first.job == id;) {
-            view = view->second.openRequests == 0 ? state.admissions.erase(view) : std::next(view);
+            view =
+                view->second.pendingRequests == 0 ? state.admissions.erase(view) : std::next(view);
         }
         return;
     }
     auto &view = state.jobs[id];
-    if (view.chainFrom.empty()) {
-        view.chainFrom = chainsOf(job->second.job);
-        view.chain = *std::max_element(view.chainFrom.begin(), view.chainFrom.end());
+    if (view.criticalPathFrom.empty()) {
+        view.criticalPathFrom = criticalPathsOf(job->second.job);
+        view.criticalPath =
+            *std::max_element(view.criticalPathFrom.begin(), view.criticalPathFrom.end());
     }
-    view.open.clear();
-    view.coming.clear();
+    view.pendingSteps.clear();
+    view.upcomingSteps.clear();
     for (const auto &[number, occurrence] : job->second.occurrences) {
-        view.begunAt.emplace(number, now);
+        view.occurrenceBegunAt.emplace(number, now);
         for (std::uint32_t step = 0; step < occurrence.steps.size(); ++step) {
             if (isOpen(job->second, occurrence, step)) {
-                view.open.emplace(number, step);
+                view.pendingSteps.emplace(number, step);
             } else if (isComing(job->second, occurrence, step)) {
-                view.coming.emplace(number, step);
+                view.upcomingSteps.emplace(number, step);
             }
         }
     }
-    state.isChanged = true;
+    state.mayPlaceMore = true;
 }
 
 } // namespace filbert
--- a/modules/filbert_dispatch/step_order.h
+++ b/modules/filbert_dispatch/step_order.h
@@ -10,11 +10,11 @@
 /** @param name  of the step, with index 0
     @param view  of its job
     @return the step with its present rank and slack */
-open_step openStepOf(const dispatch_state &state, const queue_index &queues, const task_name &name,
-                     const job_view &view, time_point now);
+pending_step pendingStepOf(const dispatch_state &state, const queue_index &queues,
+                           const task_name &name, const job_view &view, time_point now);
 
 /** @return all steps with waiting tasks, in the order in which a pass places them */
-std::vector<open_step> openSteps(const dispatch_state &state, const queue_index &queues,
-                                 time_point now);
+std::vector<pending_step> pendingStepsInOrder(const dispatch_state &state,
+                                              const queue_index &queues, time_point now);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/target_answers.cpp
+++ b/modules/filbert_dispatch/target_answers.cpp
@@ -15,9 +15,9 @@
 /** Records that an answer of a target got lost, although the target is available. */
 void noteLostAnswer(dispatch_state &state, const std::string &target, time_point now)
 {
-    const bool wasLossy = losesAnswers(state);
+    const bool wasLossy = isLosingAnswers(state);
     state.lostAnswers[target] = now;
-    if (!wasLossy && losesAnswers(state)) {
+    if (!wasLossy && isLosingAnswers(state)) {
         log_line {"answers_get_lost", log_line::severity::Warning}
             .with("targets", state.lostAnswers.size())
             .with("last", target);
@@ -27,7 +27,7 @@
 /** Whether the network may be the reason for a missing answer. */
 bool mayBeLost(const dispatch_state &state, order_result result)
 {
-    return result == order_result::Unanswered && losesAnswers(state);
+    return result == order_result::Unanswered && isLosingAnswers(state);
 }
 
 bool isFaultOfTarget(order_result result)
@@ -36,62 +36,62 @@
         || result == order_result::Unanswered;
 }
 
-void noteFailure(dispatch_state &state, target_conversation &target, const task_name &task,
+void noteFailure(dispatch_state &state, tracked_target &target, const task_name &task,
                  const std::string &reason, time_point now)
 {
     target.failedJobs.insert(task.job);
-    const auto bound = static_cast<std::size_t>(state.settings.failuresBeforeAvoidance);
-    if (now >= target.avoidUntil && target.failedJobs.size() >= bound) {
+    const auto bound = static_cast<std::size_t>(state.settings.failuresBeforeQuarantine);
+    if (now >= target.quarantinedUntil && target.failedJobs.size() >= bound) {
         avoid(state, target, reason, now);
     }
 }
 
-void noteSuccess(target_conversation &target)
+void noteSuccess(tracked_target &target)
 {
     target.failedJobs.clear();
-    target.avoidance = {};
+    target.quarantinePeriod = {};
 }
 
 /** Handles an order without an answer: either the answer got lost, or the target is silent. */
-void noteSilence(dispatch_state &state, target_conversation &target, const target_order &order,
+void noteSilence(dispatch_state &state, tracked_target &target, const target_order &order,
                  order_result result, time_point now)
 {
-    if (target.answeredAt >= order.sentAt) {
+    if (target.lastAnswerAt >= order.sentAt) {
         if (result == order_result::Unanswered) {
             noteLostAnswer(state, target.id, now);
         }
         return;
     }
     const bool isPatient =
-        losesAnswers(state) && now - target.answeredAt < lossyLookSpan(state.settings);
+        isLosingAnswers(state) && now - target.lastAnswerAt < lossyPollTimeout(state.settings);
     if (isPatient || std::exchange(target.isSuspect, true)) {
         return;
     }
     // No new work until it answers: usually its process has ended, or its host is disconnected.
-    target.isReviewDue = true;
+    target.isInventoryStale = true;
     log_line {"target_suspect", log_line::severity::Warning}
         .with("target", target.id)
         .with("result", resultName(result))
-        .with("heard_ms_ago", (now - target.heardAt).count);
+        .with("heard_ms_ago", (now - target.lastContactAt).count);
 }
 
-void answerStart(dispatch_state &state, target_conversation &target, const target_order &order,
+void answerStart(dispatch_state &state, tracked_target &target, const target_order &order,
                  order_result result, run_view &run, time_point now)
 {
-    run.isOrderOpen = false;
-    if (result == order_result::Done || result == order_result::Old) {
+    run.isOrderPending = false;
+    if (result == order_result::Done || result == order_result::Superseded) {
         run.confirmedAt = now;
-        run.mayBeThere = true;
+        run.mayHaveReachedTarget = true;
         if (run.phase == run_phase::Ordered) {
             run.phase = run_phase::Started;
             run.startedAt = now;
-            run.progressAt = now;
+            run.lastProgressAt = now;
         }
-        target.lookAt = std::min(target.lookAt, now);
+        target.nextPollAt = std::min(target.nextPollAt, now);
         return;
     }
     log_line {"start_not_taken", log_line::severity::Warning}
-        .with("task", textOf(order.task))
+        .with("task", toString(order.task))
         .with("run", order.run)
         .with("target", target.id)
         .with("result", resultName(result))
@@ -99,43 +99,43 @@
     if (isFaultOfTarget(result) && !mayBeLost(state, result)) {
         noteFailure(state, target, order.task, "starts fail there", now);
     }
-    run.mayBeThere =
-        run.mayBeThere || result == order_result::Unanswered || result == order_result::CarrierLost;
+    run.mayHaveReachedTarget = run.mayHaveReachedTarget || result == order_result::Unanswered
+        || result == order_result::RelayLost;
     const bool mayTryAgain =
         (result == order_result::Unanswered || result == order_result::Unreachable
-         || result == order_result::CarrierLost)
-        && now - run.orderedAt < state.settings.startSpan;
+         || result == order_result::RelayLost)
+        && now - run.orderedAt < state.settings.startRetryPeriod;
     if (mayTryAgain) {
         const bool isSoon =
-            losesAnswers(state) || now - run.orderedAt < state.settings.startTimeout * 2;
-        run.retryAt = now + (isSoon ? state.settings.firstRetryPause : state.settings.retryPause);
+            isLosingAnswers(state) || now - run.orderedAt < state.settings.startTimeout * 2;
+        run.retryAt = now + (isSoon ? state.settings.initialRetryDelay : state.settings.retryDelay);
         return;
     }
-    if (run.mayBeThere) {
+    if (run.mayHaveReachedTarget) {
         requestStop(state, order.task, "its start was not clearly answered", now);
         return;
     }
-    proposeDrop(state, order.task, run, target.id, std::string {resultName(result)});
+    proposeAbandonment(state, order.task, run, target.id, std::string {resultName(result)});
 }
 
-void answerStop(target_conversation &target, const target_order &order, order_result result,
+void answerStop(tracked_target &target, const target_order &order, order_result result,
                 time_point now)
 {
     if (result == order_result::Done) {
-        target.strays.erase(order.task);
+        target.orphanRuns.erase(order.task);
     }
     const auto found = target.runs.find(order.task);
     if (found == target.runs.end() || found->second.run != order.run) {
         return;
     }
     auto &run = found->second;
-    run.isOrderOpen = false;
-    if (result != order_result::Done && result != order_result::Old) {
+    run.isOrderPending = false;
+    if (result != order_result::Done && result != order_result::Superseded) {
         run.retryAt = now + stopPause;
         return;
     }
     run.confirmedAt = now; // a later poll lists its end, or shows that it is not there
-    target.lookAt = std::min(target.lookAt, now);
+    target.nextPollAt = std::min(target.nextPollAt, now);
 }
 
 void updateRun(const reported_run &report, bool serves, run_view &run, time_point now)
@@ -143,28 +143,28 @@
     if (run.phase == run_phase::Ordered) {
         run.phase = run_phase::Started;
         run.startedAt = now;
-        run.progressAt = now;
+        run.lastProgressAt = now;
     }
-    if (report.percent != run.percent) {
-        run.progressAt = now;
+    if (report.percentDone != run.percentDone) {
+        run.lastProgressAt = now;
     }
-    run.seenAt = now;
-    run.percent = report.percent;
+    run.lastListedAt = now;
+    run.percentDone = report.percentDone;
     if (!report.checkpoint.empty()) {
         run.checkpoint = report.checkpoint;
     }
-    (serves ? run.tailMs : run.coresInUse) = report.gauge;
+    (serves ? run.tailLatencyMs : run.milliCoresInUse) = report.gauge;
 }
 
-void takeReportedRuns(dispatch_state &state, target_conversation &target,
-                      const order_answer &answer, std::set<task_name> *present, time_point now)
+void takeReportedRuns(dispatch_state &state, tracked_target &target, const order_answer &answer,
+                      std::set<task_name> *present, time_point now)
 {
     for (const auto &report : answer.runs) {
         const auto found = target.runs.find(report.task);
         if (found == target.runs.end() || found->second.run != report.run) {
-            if (target.strays.emplace(report.task, report.run).second) {
+            if (target.orphanRuns.emplace(report.task, report.run).second) {
                 log_line {"stray_run", log_line::severity::Warning}
-                    .with("task", textOf(report.task))
+                    .with("task", toString(report.task))
                     .with("run", report.run)
                     .with("target", target.id);
             }
@@ -173,17 +173,17 @@
         present->insert(report.task);
         const auto job = state.work->jobs.find(report.task.job);
         const bool serves = job != state.work->jobs.end()
-            && specOf(job->second, report.task.step).latency_target_ms() > 0;
+            && stepSpecOf(job->second, report.task.step).latency_target_ms() > 0;
         updateRun(report, serves, found->second, now);
     }
 }
 
-void takeReportedEnds(dispatch_state &state, target_conversation &target, const life_record &life,
+void takeReportedEnds(dispatch_state &state, tracked_target &target, const registered_target &life,
                       const order_answer &answer, std::set<task_name> *present, time_point now)
 {
     messages::work_command command;
     auto *batch = command.mutable_end();
-    const auto known = std::max(target.proposedEnds, life.lastEndTaken);
+    const auto known = std::max(target.lastProposedEnd, life.lastAppliedEnd);
     for (const auto &end : answer.ends) {
         present->insert(end.task);
         if (end.number <= known) {
@@ -191,7 +191,7 @@
         }
         batch->set_last_seen(std::max(batch->last_seen(), end.number));
         auto *out = batch->add_ends();
-        *out->mutable_task() = referenceTo(end.task);
+        *out->mutable_task() = toTaskReference(end.task);
         out->set_run(end.run);
         out->set_kind(end.kind);
         out->set_checkpoint(end.checkpoint);
@@ -203,24 +203,24 @@
     }
     if (batch->ends_size() > 0) {
         batch->set_target(target.id);
-        batch->set_born(target.born);
-        target.proposedEnds = batch->last_seen();
+        batch->set_born(target.incarnation);
+        target.lastProposedEnd = batch->last_seen();
         propose(state, std::move(command));
     }
 }
 
 /** Handles runs that a target lists neither as running nor as ended. */
-void reviewAbsent(dispatch_state &state, target_conversation &target, const target_order &look,
+void reviewAbsent(dispatch_state &state, tracked_target &target, const target_order &look,
                   const std::set<task_name> &present, time_point now)
 {
     for (auto &[task, run] : target.runs) {
-        if (present.contains(task) || run.isOrderOpen || run.isDropProposed
+        if (present.contains(task) || run.isOrderPending || run.isAbandonmentProposed
             || run.phase == run_phase::Ordered) {
             continue;
         }
         const bool isKnownBefore = run.confirmedAt < look.sentAt && run.confirmedAt.ms > 0;
         if (run.phase == run_phase::Stopping && isKnownBefore) {
-            proposeDrop(state, task, run, target.id, "stopped or never started");
+            proposeAbandonment(state, task, run, target.id, "stopped or never started");
         } else if (run.phase == run_phase::Started && (isKnownBefore || run.confirmedAt.ms == 0)) {
             // A start order of the previous leader may still arrive; a stop makes it void.
             requestStop(state, task, "the target does not list it", now);
@@ -228,26 +228,26 @@
     }
 }
 
-void answerLook(dispatch_state &state, target_conversation &target, const life_record &life,
+void answerLook(dispatch_state &state, tracked_target &target, const registered_target &life,
                 const target_order &order, const order_answer &answer, time_point now)
 {
-    const bool isNewest = order.sentAt == target.lookSentAt;
+    const bool isNewest = order.sentAt == target.pollSentAt;
     if (isNewest) {
-        target.isLookOpen = false;
+        target.isPollPending = false;
         const bool isRepeatedAtOnce =
             answer.result == order_result::Done || mayBeLost(state, answer.result);
-        target.lookAt = isRepeatedAtOnce ? now : now + lookPauseAfterFault;
+        target.nextPollAt = isRepeatedAtOnce ? now : now + lookPauseAfterFault;
     }
-    target.lookedAt = answer.result == order_result::Done ? now : time_point {};
+    target.pollAnsweredAt = answer.result == order_result::Done ? now : time_point {};
     if (answer.result != order_result::Done) {
         log_line {"look_failed", log_line::severity::Warning}
             .with("target", target.id)
             .with("result", resultName(answer.result))
-            .with("heard_ms_ago", (now - target.heardAt).count);
+            .with("heard_ms_ago", (now - target.lastContactAt).count);
         return;
     }
-    target.isReviewDue = false;
-    target.acknowledged = std::max(target.acknowledged, order.lastEndTaken);
+    target.isInventoryStale = false;
+    target.lastAcknowledgedEnd = std::max(target.lastAcknowledgedEnd, order.lastAppliedEnd);
     std::set<task_name> present;
     takeReportedRuns(state, target, answer, &present, now);
     takeReportedEnds(state, target, life, answer, &present, now);
@@ -257,42 +257,43 @@
 
 } // namespace
 
-void takeOrderAnswer(dispatch_state &state, const target_order &order, const order_answer &answer,
-                     time_point now)
+void handleOrderAnswer(dispatch_state &state, const target_order &order, const order_answer &answer,
+                       time_point now)
 {
     const auto found = state.targets.find(order.target);
-    const auto *life = lifeOf(state, order.target);
+    const auto *life = findRegisteredTarget(state, order.target);
     if (order.fencingToken != state.term || found == state.targets.end() || life == nullptr) {
         return; // from an earlier term, or from a target that has been removed
     }
     auto &target = found->second;
-    const bool isOfThisLife =
-        order.born == target.born && (!answer.born || *answer.born == target.born);
+    const bool isOfThisLife = order.incarnation == target.incarnation
+        && (!answer.incarnation || *answer.incarnation == target.incarnation);
     if (!isOfThisLife) {
-        if (order.kind == order_kind::Look && order.born == target.born) {
-            target.isLookOpen = false;
-            target.lookedAt = {};
-            target.lookAt = now + lookPauseAfterFault;
+        if (order.kind == order_kind::Poll && order.incarnation == target.incarnation) {
+            target.isPollPending = false;
+            target.pollAnsweredAt = {};
+            target.nextPollAt = now + lookPauseAfterFault;
         }
         return;
     }
     state.changedTargets.insert(order.target);
-    const bool isCarried = answer.result != order_result::CarrierLost;
+    const bool isCarried = answer.result != order_result::RelayLost;
     const bool hasAnswered = isCarried && answer.result != order_result::Unanswered
-        && answer.result != order_result::Unreachable && answer.result != order_result::WrongLife;
+        && answer.result != order_result::Unreachable
+        && answer.result != order_result::WrongIncarnation;
     if (hasAnswered) {
         if (target.isSuspect) {
             noteLostAnswer(state, target.id, now); // it was available all the time
         }
-        target.heardAt = now;
-        target.answeredAt = now;
-        state.isChanged = state.isChanged || target.isSuspect;
+        target.lastContactAt = now;
+        target.lastAnswerAt = now;
+        state.mayPlaceMore = state.mayPlaceMore || target.isSuspect;
         target.isSuspect = false;
     } else if (isCarried) {
         noteSilence(state, target, order, answer.result, now);
     }
     if (answer.clockMs) {
-        takeClock(target, *answer.clockMs, now);
+        updateClock(target, *answer.clockMs, now);
     }
     switch (order.kind) {
     case order_kind::Start: {
@@ -301,7 +302,7 @@
             if (run->second.phase == run_phase::Ordered) {
                 answerStart(state, target, order, answer.result, run->second, now);
             } else {
-                run->second.isOrderOpen = false;
+                run->second.isOrderPending = false;
             }
         }
         break;
@@ -309,10 +310,10 @@
     case order_kind::Stop:
         answerStop(target, order, answer.result, now);
         break;
-    case order_kind::Look:
+    case order_kind::Poll:
         answerLook(state, target, *life, order, answer, now);
         break;
-    case order_kind::Pace:
+    case order_kind::SetWorkRate:
         break; // the next poll shows the effect
     }
 }
--- a/modules/filbert_dispatch/target_conversation.cpp
+++ b/modules/filbert_dispatch/target_conversation.cpp
@@ -17,85 +17,86 @@
     700}; // for a stop with a checkpoint before the target leaves
 constexpr std::int64_t targetsPerMillisecond = 15; // that a tick of all targets handles in a ms
 
-bool needsLook(const dispatch_state &state, const target_conversation &target,
-               const life_record &life, time_point now)
+bool needsLook(const dispatch_state &state, const tracked_target &target,
+               const registered_target &life, time_point now)
 {
-    if (target.proposedEnds > life.lastEndTaken) {
+    if (target.lastProposedEnd > life.lastAppliedEnd) {
         return false; // until the proposed ends are committed
     }
-    const bool isHeard = now - target.heardAt < state.settings.contactSpan;
+    const bool isHeard = now - target.lastContactAt < state.settings.contactTimeout;
     return !target.runs.empty()
-        || (isHeard && (life.lastEndTaken > target.acknowledged || target.isReviewDue));
+        || (isHeard
+            && (life.lastAppliedEnd > target.lastAcknowledgedEnd || target.isInventoryStale));
 }
 
-bool hasLapsed(const target_conversation &target, time_point now)
+bool hasLapsed(const tracked_target &target, time_point now)
 {
     // Leases of earlier terms are bounded by time alone: the first reading of a clock may have been
     // long on its way, so that no expiry can be derived from it.
-    return now > target.lapseBy
-        && (!target.clockMs || clockAtLeast(target, now) > target.leaseUntil);
+    return now > target.previousLeasesExpireBy
+        && (!target.clockMs || clockLowerBound(target, now) > target.leaseExpiresAt);
 }
 
-void stepRuns(dispatch_state &state, target_conversation &target, const life_record &life,
+void stepRuns(dispatch_state &state, tracked_target &target, const registered_target &life,
               time_point now)
 {
     for (auto &[task, run] : target.runs) {
         const auto &job = state.work->jobs.at(task.job);
         const auto *record = findTask(*state.work, task);
-        const bool isOfOldLife = record != nullptr && record->born != target.born;
-        if (run.phase != run_phase::Stopping && (job.isEnded() || isOfOldLife)) {
+        const bool isOfOldLife = record != nullptr && record->incarnation != target.incarnation;
+        if (run.phase != run_phase::Stopping && (job.hasEnded() || isOfOldLife)) {
             run.phase = run_phase::Stopping;
             run.confirmedAt = {};
             run.retryAt = now;
         }
-        if (run.isOrderOpen || run.isDropProposed || now < run.retryAt) {
+        if (run.isOrderPending || run.isAbandonmentProposed || now < run.retryAt) {
             continue;
         }
         if (run.phase == run_phase::Ordered) {
             sendStart(state, target, life, task, run, now);
         } else if (run.phase == run_phase::Stopping && run.confirmedAt.ms == 0) {
-            run.isOrderOpen = true;
+            run.isOrderPending = true;
             sendStop(state, target, life, task, run.run, now);
         }
     }
-    for (const auto &[task, run] : target.strays) {
-        if (now >= target.lookSentAt + state.settings.retryPause) {
+    for (const auto &[task, run] : target.orphanRuns) {
+        if (now >= target.pollSentAt + state.settings.retryDelay) {
             sendStop(state, target, life, task, run, now);
         }
     }
 }
 
 /** Whether no late order can start a run of the target any more. */
-bool mayNothingLinger(const target_conversation &target, time_point now)
+bool mayNothingLinger(const tracked_target &target, time_point now)
 {
     return std::all_of(target.runs.begin(), target.runs.end(),
-                       [&](const auto &each) { return now >= each.second.mayLingerUntil; });
+                       [&](const auto &each) { return now >= each.second.mayStartLateUntil; });
 }
 
 /** Abandons the runs of a target whose lease has expired, unless a late order may still start them.
  */
-void giveUpLapsed(dispatch_state &state, target_conversation &target, time_point now)
+void giveUpLapsed(dispatch_state &state, tracked_target &target, time_point now)
 {
-    target.isReviewDue = true;
+    target.isInventoryStale = true;
     for (auto &[task, run] : target.runs) {
-        if (now >= run.mayLingerUntil) {
-            proposeDrop(state, task, run, target.id, "the lease of its target has expired");
+        if (now >= run.mayStartLateUntil) {
+            proposeAbandonment(state, task, run, target.id, "the lease of its target has expired");
         }
     }
 }
 
 /** Stops runs that polls have listed for long without any progress, since they may hang. A time
     without polls says nothing about a run and does not count. */
-void reviewProgress(dispatch_state &state, target_conversation &target, time_point now)
+void reviewProgress(dispatch_state &state, tracked_target &target, time_point now)
 {
     for (auto &[task, run] : target.runs) {
-        const auto &spec = specOf(state.work->jobs.at(task.job), task.step);
+        const auto &spec = stepSpecOf(state.work->jobs.at(task.job), task.step);
         const bool isWatched = run.phase == run_phase::Started && !spec.lasts()
-            && !spec.fills_gaps() && run.pace == 100;
-        const auto stalled = run.seenAt - std::max(run.progressAt, run.startedAt);
-        if (isWatched && stalled > state.settings.stallSpan) {
+            && !spec.fills_gaps() && run.workRate == 100;
+        const auto stalled = run.lastListedAt - std::max(run.lastProgressAt, run.startedAt);
+        if (isWatched && stalled > state.settings.stallTimeout) {
             requestStop(state, task, "it makes no progress", now);
-            if (now >= target.avoidUntil) {
+            if (now >= target.quarantinedUntil) {
                 avoid(state, target, "a task there makes no progress", now);
             }
         }
@@ -104,20 +105,20 @@
 
 /** Stops runs on a draining target so that they continue elsewhere: long-running ones at once,
     others if they cannot end in time and can save a checkpoint. */
-void reviewDrain(dispatch_state &state, target_conversation &target, time_point now)
+void reviewDrain(dispatch_state &state, tracked_target &target, time_point now)
 {
     for (auto &[task, run] : target.runs) {
         if (run.phase != run_phase::Started) {
             continue;
         }
-        const auto &spec = specOf(state.work->jobs.at(task.job), task.step);
+        const auto &spec = stepSpecOf(state.work->jobs.at(task.job), task.step);
         if (spec.lasts()) {
             requestStop(state, task, "its target is leaving", now);
             continue;
         }
         const auto since = std::max<std::int64_t>((now - run.startedAt).count, 1);
-        const double left = run.percent > 0
-            ? static_cast<double>(since) * (100.0 - run.percent) / run.percent
+        const double left = run.percentDone > 0
+            ? static_cast<double>(since) * (100.0 - run.percentDone) / run.percentDone
             : static_cast<double>(spec.estimate_ms());
         const bool canFinish = now + milliseconds {std::llround(left)} <= target.leavesAt;
         if (!canFinish && spec.checkpoints() && now + checkpointSpan >= target.leavesAt) {
@@ -128,27 +129,28 @@
 
 } // namespace
 
-bool takesWork(const dispatch_state &state, const target_conversation &target,
-               const life_record &life, time_point now)
+bool acceptsWork(const dispatch_state &state, const tracked_target &target,
+                 const registered_target &life, time_point now)
 {
-    return !life.isOver && !life.about.is_draining() && life.about.born() == target.born
-        && target.clockMs && !target.leavingSince && !target.isSuspect && now >= target.avoidUntil
-        && now - target.heardAt < state.settings.contactSpan;
+    return !life.hasEnded && !life.registration.is_draining()
+        && life.registration.born() == target.incarnation && target.clockMs && !target.leavingSince
+        && !target.isSuspect && now >= target.quarantinedUntil
+        && now - target.lastContactAt < state.settings.contactTimeout;
 }
 
-void syncTargets(dispatch_state &state, const std::string &id, time_point now)
+void syncTarget(dispatch_state &state, const std::string &id, time_point now)
 {
-    const auto *life = lifeOf(state, id);
+    const auto *life = findRegisteredTarget(state, id);
     if (life == nullptr) {
         return;
     }
-    if (life->isOver) {
+    if (life->hasEnded) {
         state.targets.erase(id);
         return;
     }
     state.changedTargets.insert(id);
     auto &target = state.targets[id];
-    if (target.born != life->about.born()) {
+    if (target.incarnation != life->registration.born()) {
         const auto before = std::move(target);
         target = {};
         target.runs = before.runs; // stopped in the new incarnation too, see tickRuns()
@@ -156,21 +158,22 @@
         // the clock of this one. This incarnation bounds such a lease by its own maximum, counted
         // from the arrival of the order.
         const auto lingerUntil =
-            now + state.settings.lateOrderSpan + clockRateMargin(state.settings.longestLease);
+            now + state.settings.maxOrderDelay + withClockRateMargin(state.settings.maxTargetLease);
         for (auto &[task, run] : target.runs) {
-            run.isOrderOpen = false; // its answer would come from the previous incarnation
-            run.mayLingerUntil = lingerUntil;
+            run.isOrderPending = false; // its answer would come from the previous incarnation
+            run.mayStartLateUntil = lingerUntil;
         }
-        target.planned = before.planned;
-        target.plannedFill = before.plannedFill;
+        target.reservedResources = before.reservedResources;
+        target.reservedBestEffortCores = before.reservedBestEffortCores;
         target.id = id;
-        target.born = life->about.born();
-        target.heardAt = now;
-        target.lapseBy = state.leadingSince
-            + clockRateMargin(std::min(state.settings.targetLease, state.settings.longestLease))
+        target.incarnation = life->registration.born();
+        target.lastContactAt = now;
+        target.previousLeasesExpireBy = state.leadingSince
+            + withClockRateMargin(std::min(state.settings.targetLease,
+                                           state.settings.maxTargetLease))
             + leaseSlack;
     }
-    target.proposedEnds = std::max(target.proposedEnds, life->lastEndTaken);
+    target.lastProposedEnd = std::max(target.lastProposedEnd, life->lastAppliedEnd);
     std::erase_if(target.runs, [&](const auto &each) { return !life->runs.contains(each.first); });
     for (const auto &task : life->runs) {
         auto &run = target.runs[task];
@@ -181,32 +184,32 @@
         run = {};
         run.run = record->run;
         run.startedAt = now;
-        run.progressAt = now;
+        run.lastProgressAt = now;
         run.checkpoint = record->checkpoint;
     }
 }
 
-bool takeReport(dispatch_state &state, const messages::target_life &life, time_point now)
+bool handleTargetReport(dispatch_state &state, const messages::target_life &life, time_point now)
 {
-    const auto *known = lifeOf(state, life.id());
+    const auto *known = findRegisteredTarget(state, life.id());
     const bool isOldNews = known != nullptr
-        && (known->about.born() > life.born()
-            || (known->isOver && known->about.born() == life.born()));
+        && (known->registration.born() > life.born()
+            || (known->hasEnded && known->registration.born() == life.born()));
     if (isOldNews) {
         log_line {"late_report"}.with("target", life.id()).with("born", life.born());
         return false;
     }
     const auto found = state.targets.find(life.id());
-    const bool isSameLife = known != nullptr && known->about.born() == life.born();
+    const bool isSameLife = known != nullptr && known->registration.born() == life.born();
     if (isSameLife && found != state.targets.end()) {
         auto &target = found->second;
         const auto sequence = static_cast<std::uint64_t>(life.sequence());
-        if (sequence <= target.sequence) {
+        if (sequence <= target.reportSequence) {
             return false; // a later report has overtaken it
         }
-        target.sequence = sequence;
-        target.heardAt = now;
-        takeClock(target, life.clock_ms(), now);
+        target.reportSequence = sequence;
+        target.lastContactAt = now;
+        updateClock(target, life.clock_ms(), now);
         if (life.is_draining() && target.leavesAt.ms == 0) {
             target.leavesAt = now + milliseconds {life.remaining_ms()};
         }
@@ -217,7 +220,7 @@
     comparable.clear_remaining_ms();
     comparable.clear_cold_ms();
     const bool isUnchanged =
-        isSameLife && known->about.SerializeAsString() == comparable.SerializeAsString();
+        isSameLife && known->registration.SerializeAsString() == comparable.SerializeAsString();
     if (isUnchanged) {
         return false;
     }
@@ -227,7 +230,7 @@
     return true;
 }
 
-void takeLeave(dispatch_state &state, const std::string &id, time_point now)
+void handleTargetLeaving(dispatch_state &state, const std::string &id, time_point now)
 {
     const auto found = state.targets.find(id);
     if (found == state.targets.end() || found->second.leavingSince) {
@@ -255,10 +258,10 @@
     auto &run = found->second;
     state.changedTargets.insert(record->target);
     log_line {"run_stopping"}
-        .with("task", textOf(task))
+        .with("task", toString(task))
         .with("run", run.run)
         .with("target", record->target)
-        .with("percent", run.percent)
+        .with("percent", run.percentDone)
         .with("reason", reason);
     run.phase = run_phase::Stopping;
     run.confirmedAt = {};
@@ -268,17 +271,17 @@
 void orderStart(dispatch_state &state, const messages::start_run_command &start,
                 const std::string &ticket, time_point now)
 {
-    const auto *life = lifeOf(state, start.target());
+    const auto *life = findRegisteredTarget(state, start.target());
     const auto found = state.targets.find(start.target());
     if (life == nullptr || found == state.targets.end()) {
         return;
     }
-    const auto task = nameOf(start.task());
+    const auto task = toTaskName(start.task());
     auto &run = found->second.runs[task];
     run = {};
     run.run = start.run();
     run.phase = run_phase::Ordered;
-    run.mayBeThere = false;
+    run.mayHaveReachedTarget = false;
     run.orderedAt = now;
     run.checkpoint = start.checkpoint();
     run.ticket = ticket;
@@ -287,17 +290,17 @@
 
 namespace {
 
-void stepTarget(dispatch_state &state, target_conversation &target, time_point now)
+void stepTarget(dispatch_state &state, tracked_target &target, time_point now)
 {
     const auto &id = target.id;
-    const auto *life = lifeOf(state, id);
-    if (life == nullptr || life->about.born() != target.born) {
+    const auto *life = findRegisteredTarget(state, id);
+    if (life == nullptr || life->registration.born() != target.incarnation) {
         return;
     }
     // A target that reported its end without getting an acknowledgement runs on for seconds. Only
     // the expiry of its lease, which is not renewed any more, ensures that its runs are over.
-    const bool isOver = hasLapsed(target, now) && mayNothingLinger(target, now);
-    if (target.leavingSince && (target.runs.empty() || isOver)) {
+    const bool hasEnded = hasLapsed(target, now) && mayNothingLinger(target, now);
+    if (target.leavingSince && (target.runs.empty() || hasEnded)) {
         if (!std::exchange(target.isLeaveProposed, true)) {
             messages::work_command command;
             command.set_target_left(id);
@@ -307,34 +310,35 @@
     }
     if (!target.runs.empty() && hasLapsed(target, now)) {
         giveUpLapsed(state, target, now);
-        if (isOver) {
+        if (hasEnded) {
             return;
         }
     }
-    if (life->about.is_draining()) {
+    if (life->registration.is_draining()) {
         reviewDrain(state, target, now);
     }
     reviewProgress(state, target, now);
     stepRuns(state, target, *life, now);
     const bool isLookLost =
-        losesAnswers(state) && now - target.lookSentAt > lossyLookSpan(state.settings);
-    if ((!target.isLookOpen || isLookLost) && now >= target.lookAt
+        isLosingAnswers(state) && now - target.pollSentAt > lossyPollTimeout(state.settings);
+    if ((!target.isPollPending || isLookLost) && now >= target.nextPollAt
         && needsLook(state, target, *life, now)) {
-        sendLook(state, target, *life, now);
+        sendPoll(state, target, *life, now);
     }
 }
 
 } // namespace
 
-void stepTargets(dispatch_state &state, time_point now)
+void tickTargets(dispatch_state &state, time_point now)
 {
-    std::erase_if(state.lostAnswers,
-                  [&](const auto &each) { return now - each.second >= state.settings.lossSpan; });
+    std::erase_if(state.lostAnswers, [&](const auto &each) {
+        return now - each.second >= state.settings.answerLossWindow;
+    });
     const auto changed = std::exchange(state.changedTargets, {});
-    if (now >= state.targetsAt) {
+    if (now >= state.nextTargetTickAt) {
         const auto count = static_cast<std::int64_t>(state.targets.size());
-        state.targetsAt =
-            now + state.settings.targetsPeriod + milliseconds {count / targetsPerMillisecond};
+        state.nextTargetTickAt =
+            now + state.settings.targetTickPeriod + milliseconds {count / targetsPerMillisecond};
         for (auto &[id, target] : state.targets) {
             stepTarget(state, target, now);
         }
--- a/modules/filbert_dispatch/target_conversation.h
+++ b/modules/filbert_dispatch/target_conversation.h
@@ -10,19 +10,19 @@
     @return whether the report holds something new that must be in the log before it is
             acknowledged; the command for that is then among the effects
 */
-bool takeReport(dispatch_state &state, const messages::target_life &life, time_point now);
+bool handleTargetReport(dispatch_state &state, const messages::target_life &life, time_point now);
 
 /** Handles the report of a target that it ends now. Its runs are over once its lease has expired.
  */
-void takeLeave(dispatch_state &state, const std::string &id, time_point now);
+void handleTargetLeaving(dispatch_state &state, const std::string &id, time_point now);
 
 /** Handles the answer to an order, or the failure to get one. */
-void takeOrderAnswer(dispatch_state &state, const target_order &order, const order_answer &answer,
-                     time_point now);
+void handleOrderAnswer(dispatch_state &state, const target_order &order, const order_answer &answer,
+                       time_point now);
 
 /** Sends what is due to targets: retries of starts and stops, polls, renewed leases. Abandons runs
     whose lease has surely expired. */
-void stepTargets(dispatch_state &state, time_point now);
+void tickTargets(dispatch_state &state, time_point now);
 
 /** Sends a committed start to its target.
     @param ticket  from the policy service; may be empty */
@@ -36,14 +36,14 @@
 
 /** Whether answers of several targets got lost recently, so that a missing answer says little about
     a target. */
-bool losesAnswers(const dispatch_state &state);
+bool isLosingAnswers(const dispatch_state &state);
 
 /** Whether a target may get new work.
     @param life  its record in the replicated state */
-bool takesWork(const dispatch_state &state, const target_conversation &target,
-               const life_record &life, time_point now);
+bool acceptsWork(const dispatch_state &state, const tracked_target &target,
+                 const registered_target &life, time_point now);
 
 /** Updates the view of a target from its record and its runs in the replicated state. */
-void syncTargets(dispatch_state &state, const std::string &id, time_point now);
+void syncTarget(dispatch_state &state, const std::string &id, time_point now);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/target_orders.cpp
+++ b/modules/filbert_dispatch/target_orders.cpp
@@ -12,34 +12,34 @@
 constexpr double slowestRate = 0.97; // a target's clock may be 2 % slow; 1 % is a margin
 constexpr milliseconds answeredSpan {2'000}; // without contact for longer, no lease is renewed
 
-std::int64_t leaseEndFor(const dispatch_state &state, target_conversation &target, time_point now)
+std::int64_t leaseEndFor(const dispatch_state &state, tracked_target &target, time_point now)
 {
-    const auto span = std::min(state.settings.targetLease, state.settings.longestLease);
-    const auto until = clockAtMost(target, now) + span.count;
-    target.leaseUntil = std::max(target.leaseUntil, until);
+    const auto span = std::min(state.settings.targetLease, state.settings.maxTargetLease);
+    const auto until = clockUpperBound(target, now) + span.count;
+    target.leaseExpiresAt = std::max(target.leaseExpiresAt, until);
     return until;
 }
 
 } // namespace
 
-target_order orderFor(const dispatch_state &state, const target_conversation &target,
-                      const life_record &life, order_kind kind, time_point now)
+target_order orderFor(const dispatch_state &state, const tracked_target &target,
+                      const registered_target &life, order_kind kind, time_point now)
 {
     target_order order;
     order.kind = kind;
     order.target = target.id;
-    order.born = target.born;
-    order.address = life.about.address();
+    order.incarnation = target.incarnation;
+    order.address = life.registration.address();
     order.fencingToken = state.term;
     order.timeout = state.settings.orderTimeout;
     order.sentAt = now;
     return order;
 }
 
-const life_record *lifeOf(const dispatch_state &state, const std::string &id)
+const registered_target *findRegisteredTarget(const dispatch_state &state, const std::string &id)
 {
-    const auto found = state.work->lives.find(id);
-    return found == state.work->lives.end() ? nullptr : &found->second;
+    const auto found = state.work->targets.find(id);
+    return found == state.work->targets.end() ? nullptr : &found->second;
 }
 
 void propose(dispatch_state &state, messages::work_command &&command)
@@ -47,26 +47,26 @@
     state.effects.commands.push_back(std::move(command));
 }
 
-void proposeDrop(dispatch_state &state, const task_name &task, run_view &run,
-                 const std::string &target, const std::string &reason)
+void proposeAbandonment(dispatch_state &state, const task_name &task, run_view &run,
+                        const std::string &target, const std::string &reason)
 {
-    if (std::exchange(run.isDropProposed, true)) {
+    if (std::exchange(run.isAbandonmentProposed, true)) {
         return;
     }
     log_line {"run_given_up"}
-        .with("task", textOf(task))
+        .with("task", toString(task))
         .with("run", run.run)
         .with("target", target)
         .with("reason", reason);
     messages::work_command command;
     auto *drop = command.mutable_drop();
-    *drop->mutable_task() = referenceTo(task);
+    *drop->mutable_task() = toTaskReference(task);
     drop->set_run(run.run);
     drop->set_checkpoint(run.checkpoint);
     propose(state, std::move(command));
 }
 
-void sendStart(dispatch_state &state, target_conversation &target, const life_record &life,
+void sendStart(dispatch_state &state, tracked_target &target, const registered_target &life,
                const task_name &task, run_view &run, time_point now)
 {
     auto order = orderFor(state, target, life, order_kind::Start, now);
@@ -76,14 +76,14 @@
     order.spec = job.job.spec();
     order.checkpoint = run.checkpoint;
     order.ticket = run.ticket;
-    order.leaseUntil = leaseEndFor(state, target, now);
+    order.leaseExpiresAt = leaseEndFor(state, target, now);
     order.timeout =
-        losesAnswers(state) ? state.settings.lossyStartTimeout : state.settings.startTimeout;
-    run.isOrderOpen = true;
+        isLosingAnswers(state) ? state.settings.lossyStartTimeout : state.settings.startTimeout;
+    run.isOrderPending = true;
     state.effects.orders.push_back(std::move(order));
 }
 
-void sendStop(dispatch_state &state, target_conversation &target, const life_record &life,
+void sendStop(dispatch_state &state, tracked_target &target, const registered_target &life,
               const task_name &task, std::uint32_t run, time_point now)
 {
     auto order = orderFor(state, target, life, order_kind::Stop, now);
@@ -92,53 +92,53 @@
     state.effects.orders.push_back(std::move(order));
 }
 
-void sendLook(dispatch_state &state, target_conversation &target, const life_record &life,
+void sendPoll(dispatch_state &state, tracked_target &target, const registered_target &life,
               time_point now)
 {
-    auto order = orderFor(state, target, life, order_kind::Look, now);
+    auto order = orderFor(state, target, life, order_kind::Poll, now);
     const bool isIdle = target.runs.empty();
-    const bool isMixed = life.serving > 0 && life.fillCores > 0;
+    const bool isMixed = life.latencySensitiveRuns > 0 && life.bestEffortCores > 0;
     const bool isStopping =
         std::any_of(target.runs.begin(), target.runs.end(), [](const auto &each) {
             return each.second.phase == run_phase::Stopping && each.second.confirmedAt.ms > 0;
         });
-    if (target.clockMs && !isIdle && !target.leavingSince && now - target.heardAt < answeredSpan) {
-        order.leaseUntil = leaseEndFor(state, target, now);
+    if (target.clockMs && !isIdle && !target.leavingSince
+        && now - target.lastContactAt < answeredSpan) {
+        order.leaseExpiresAt = leaseEndFor(state, target, now);
     }
     const bool isFirst = !target.clockMs;
-    const bool isLossy = losesAnswers(state);
+    const bool isLossy = isLosingAnswers(state);
     if (!isIdle && !isFirst && !isStopping) {
-        order.wait = isLossy ? state.settings.lossyLookWait
-            : isMixed        ? state.settings.busyLookWait
-                             : state.settings.lookWait;
+        order.pollWait = isLossy ? state.settings.lossyPollWait
+            : isMixed            ? state.settings.mixedLoadPollWait
+                                 : state.settings.pollWait;
     } else if (isStopping) {
-        order.wait = state.settings.retryPause;
+        order.pollWait = state.settings.retryDelay;
     }
     // A new incarnation that the leader has not noticed numbers its ends from the start again. An
     // acknowledgement meant for the previous one would make it discard ends that the log lacks.
-    const bool isSurelySameLife =
-        target.lookedAt.ms > 0 && now - target.lookedAt < state.settings.sameLifeSpan;
-    order.lastEndTaken = isSurelySameLife ? life.lastEndTaken : 0;
-    order.timeout =
-        order.wait + (isLossy ? state.settings.lossyLookGrace : state.settings.lookGrace);
-    target.isLookOpen = true;
-    target.lookSentAt = now;
+    const bool isSurelySameLife = target.pollAnsweredAt.ms > 0
+        && now - target.pollAnsweredAt < state.settings.sameIncarnationWindow;
+    order.lastAppliedEnd = isSurelySameLife ? life.lastAppliedEnd : 0;
+    order.timeout = order.pollWait
+        + (isLossy ? state.settings.lossyPollGracePeriod : state.settings.pollGracePeriod);
+    target.isPollPending = true;
+    target.pollSentAt = now;
     state.effects.orders.push_back(std::move(order));
 }
 
-void avoid(dispatch_state &state, target_conversation &target, const std::string &reason,
-           time_point now)
+void avoid(dispatch_state &state, tracked_target &target, const std::string &reason, time_point now)
 {
-    const auto doubled = target.avoidance + target.avoidance;
-    target.avoidance =
-        std::clamp(doubled, state.settings.firstAvoidance, state.settings.longestAvoidance);
-    target.avoidUntil = now + target.avoidance;
+    const auto doubled = target.quarantinePeriod + target.quarantinePeriod;
+    target.quarantinePeriod =
+        std::clamp(doubled, state.settings.initialQuarantine, state.settings.maxQuarantine);
+    target.quarantinedUntil = now + target.quarantinePeriod;
     target.failedJobs.clear();
-    state.isChanged = true;
+    state.mayPlaceMore = true;
     log_line {"target_avoided", log_line::severity::Warning}
         .with("target", target.id)
         .with("reason", reason)
-        .with("for_ms", target.avoidance.count);
+        .with("for_ms", target.quarantinePeriod.count);
 }
 
 std::string_view resultName(order_result result)
@@ -149,28 +149,28 @@
     return names[static_cast<std::size_t>(result)];
 }
 
-std::int64_t clockAtMost(const target_conversation &target, time_point now)
+std::int64_t clockUpperBound(const tracked_target &target, time_point now)
 {
-    return *target.clockMs + (now - target.clockAt).count;
+    return *target.clockMs + (now - target.clockReadAt).count;
 }
 
-std::int64_t clockAtLeast(const target_conversation &target, time_point now)
+std::int64_t clockLowerBound(const tracked_target &target, time_point now)
 {
-    const auto elapsed = static_cast<double>((now - target.clockAt).count);
+    const auto elapsed = static_cast<double>((now - target.clockReadAt).count);
     return *target.clockMs + static_cast<std::int64_t>(elapsed * slowestRate);
 }
 
-void takeClock(target_conversation &target, std::int64_t clockMs, time_point now)
+void updateClock(tracked_target &target, std::int64_t clockMs, time_point now)
 {
-    if (!target.clockMs || clockMs >= clockAtLeast(target, now)) {
+    if (!target.clockMs || clockMs >= clockLowerBound(target, now)) {
         target.clockMs = clockMs;
-        target.clockAt = now;
+        target.clockReadAt = now;
     }
 }
 
-bool losesAnswers(const dispatch_state &state)
+bool isLosingAnswers(const dispatch_state &state)
 {
-    return state.lostAnswers.size() >= state.settings.lossyTargets;
+    return state.lostAnswers.size() >= state.settings.lossyTargetThreshold;
 }
 
 } // namespace filbert
--- a/modules/filbert_dispatch/target_orders.h
+++ b/modules/filbert_dispatch/target_orders.h
@@ -5,46 +5,46 @@
 namespace filbert {
 
 /** @return the record of a target in the replicated state, or nullptr */
-const life_record *lifeOf(const dispatch_state &state, const std::string &id);
+const registered_target *findRegisteredTarget(const dispatch_state &state, const std::string &id);
 
 /** Adds a command to those that the caller proposes to the log. */
 void propose(dispatch_state &state, messages::work_command &&command);
 
 /** Proposes, once per run, that a run is over without a reported end.
     @param reason  for the log */
-void proposeDrop(dispatch_state &state, const task_name &task, run_view &run,
-                 const std::string &target, const std::string &reason);
+void proposeAbandonment(dispatch_state &state, const task_name &task, run_view &run,
+                        const std::string &target, const std::string &reason);
 
 /** @return an order of a kind to the current incarnation of a target; the caller fills in the rest
  */
-target_order orderFor(const dispatch_state &state, const target_conversation &target,
-                      const life_record &life, order_kind kind, time_point now);
+target_order orderFor(const dispatch_state &state, const tracked_target &target,
+                      const registered_target &life, order_kind kind, time_point now);
 
 /** @return the timeout of a poll while answers get lost */
-inline milliseconds lossyLookSpan(const dispatch_settings &settings)
+inline milliseconds lossyPollTimeout(const dispatch_settings &settings)
 {
-    return settings.lossyLookWait + settings.lossyLookGrace;
+    return settings.lossyPollWait + settings.lossyPollGracePeriod;
 }
 
 /** Sends the order to start a run that the log holds. */
-void sendStart(dispatch_state &state, target_conversation &target, const life_record &life,
+void sendStart(dispatch_state &state, tracked_target &target, const registered_target &life,
                const task_name &task, run_view &run, time_point now);
 
-void sendStop(dispatch_state &state, target_conversation &target, const life_record &life,
+void sendStop(dispatch_state &state, tracked_target &target, const registered_target &life,
               const task_name &task, std::uint32_t run, time_point now);
 
 /** Polls a target for its runs and for ended runs. Renews its lease and acknowledges the ends that
     the log holds. */
-void sendLook(dispatch_state &state, target_conversation &target, const life_record &life,
+void sendPoll(dispatch_state &state, tracked_target &target, const registered_target &life,
               time_point now);
 
 /** Updates the estimate of a target's clock from a reading. A reading that was delayed on its way,
     and thus is behind the estimate, is ignored. */
-void takeClock(target_conversation &target, std::int64_t clockMs, time_point now);
+void updateClock(tracked_target &target, std::int64_t clockMs, time_point now);
 
 /** Quarantines a target: it gets no new work for a while, which doubles each time up to a maximum.
     @param reason  for the log */
-void avoid(dispatch_state &state, target_conversation &target, const std::string &reason,
+void avoid(dispatch_state &state, tracked_target &target, const std::string &reason,
            time_point now);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/tests/dispatch_fixture.h
+++ b/modules/filbert_dispatch/tests/dispatch_fixture.h
@@ -27,16 +27,17 @@
     /** A report of a target that is alive. */
     void report(const std::string &id, std::int64_t born = 1, bool isDraining = false)
     {
-        auto about = life(
-            id, born,
-            state.lives.contains(id) ? state.lives.at(id).about.capacity().milli_cores() : 8'000);
-        if (state.lives.contains(id)) {
-            about.set_address(state.lives.at(id).about.address());
+        auto about = life(id, born,
+                          state.targets.contains(id)
+                              ? state.targets.at(id).registration.capacity().milli_cores()
+                              : 8'000);
+        if (state.targets.contains(id)) {
+            about.set_address(state.targets.at(id).registration.address());
         }
         about.set_clock_ms(now.ms);
         about.set_sequence(now.ms);
         about.set_is_draining(isDraining);
-        takeReport(*leader, about, now);
+        handleTargetReport(*leader, about, now);
     }
 
     /** A job "j" of one task, which is placed on the only target, "t1"; the start is not answered.
@@ -61,11 +62,11 @@
 
     void stepOnce()
     {
-        stepDispatch(*leader, now, wallMs);
+        tickDispatch(*leader, now, wallMs);
         while (!leader->effects.commands.empty()) {
             for (const auto &command : std::exchange(leader->effects.commands, {})) {
                 const auto outcome = applyCommand(state, command, wallMs);
-                afterCommand(*leader, command, outcome.error != error_kind::None, now);
+                handleCommittedCommand(*leader, command, outcome.error != error_kind::None, now);
             }
         }
         for (auto &order : std::exchange(leader->effects.orders, {})) {
@@ -98,7 +99,7 @@
             if (result == order_result::Done) {
                 what.clockMs = now.ms;
             }
-            takeOrderAnswer(*leader, order, what, now);
+            handleOrderAnswer(*leader, order, what, now);
         }
         std::erase_if(orders, [&](const auto &order) {
             return order.kind == kind && (target.empty() || order.target == target);
@@ -111,14 +112,14 @@
         answer(order_kind::Start, order_result::Done, target);
         answer(order_kind::Stop, order_result::Done, target);
         order_answer list;
-        for (const auto &task : state.lives.at(target).runs) {
+        for (const auto &task : state.targets.at(target).runs) {
             reported_run run;
             run.task = task;
             run.run = findTask(state, task)->run;
-            run.percent = static_cast<int>(now.ms / 100 % 100);
+            run.percentDone = static_cast<int>(now.ms / 100 % 100);
             list.runs.push_back(run);
         }
-        answer(order_kind::Look, order_result::Done, target, list);
+        answer(order_kind::Poll, order_result::Done, target, list);
     }
 
     /** Reports and obedience of some targets over a span. */
@@ -126,7 +127,7 @@
     {
         for (const auto end = now + span; now < end;) {
             for (const auto &target : targets) {
-                report(target, state.lives.at(target).about.born());
+                report(target, state.targets.at(target).registration.born());
             }
             run({100});
             for (const auto &target : targets) {
@@ -137,7 +138,7 @@
 
     bool takesWorkAt(const std::string &target) const
     {
-        return takesWork(*leader, leader->targets.at(target), state.lives.at(target), now);
+        return acceptsWork(*leader, leader->targets.at(target), state.targets.at(target), now);
     }
 
     task_status status(const task_name &task) const { return findTask(state, task)->status; }
--- a/modules/filbert_dispatch/tests/preemption_test.cpp
+++ b/modules/filbert_dispatch/tests/preemption_test.cpp
@@ -37,7 +37,7 @@
         accept("small", {small});
         lead();
         live({400}, targets);
-        REQUIRE(findStep(state, {"small", 0, 0, 0})->running == 12);
+        REQUIRE(findStep(state, {"small", 0, 0, 0})->runningTasks == 12);
     }
 
     void handInGang(int members)
@@ -52,7 +52,7 @@
         *job->mutable_taken_under() = *findQueue(state.configuration, "gangs");
         const auto outcome = apply(command);
         REQUIRE(outcome.error == error_kind::None);
-        afterCommand(*leader, command, false, now);
+        handleCommittedCommand(*leader, command, false, now);
         run({50});
     }
 
@@ -86,17 +86,17 @@
     std::uint64_t number = 0;
     for (const auto &target : freed) {
         order_answer list;
-        for (const auto &task : cell.state.lives.at(target).runs) {
+        for (const auto &task : cell.state.targets.at(target).runs) {
             if (cell.leader->targets.at(target).runs.at(task).phase == run_phase::Stopping) {
                 list.ends.push_back({++number, task, 1, messages::END_STOPPED, "saved"});
             } else {
                 list.runs.push_back({task, 1, {}, 50, 0});
             }
         }
-        cell.answer(order_kind::Look, order_result::Done, target, list);
+        cell.answer(order_kind::Poll, order_result::Done, target, list);
     }
     cell.run({50});
-    CHECK(findStep(cell.state, {"gang", 0, 0, 0})->running == 2);
+    CHECK(findStep(cell.state, {"gang", 0, 0, 0})->runningTasks == 2);
     CHECK(findTask(cell.state, {"small", 0, 0, 0})->failures == 0);
 }
 
--- a/modules/filbert_dispatch/tests/scheduling_test.cpp
+++ b/modules/filbert_dispatch/tests/scheduling_test.cpp
@@ -13,7 +13,7 @@
 
 std::size_t running(const dispatch_fixture &cell, const std::string &job)
 {
-    return cell.state.jobs.at(job).running;
+    return cell.state.jobs.at(job).runningTasks;
 }
 
 } // namespace
@@ -118,7 +118,7 @@
     cell.lead();
     cell.report("t1");
     cell.report("t2");
-    takeCaller(*cell.leader, "gateway-1", 1, cell.now);
+    registerCaller(*cell.leader, "gateway-1", 1, cell.now);
     cell.run({50});
     REQUIRE(cell.admissions.size() == 1);
     CHECK(cell.admissions[0].request.targets_size() == 2);
@@ -131,7 +131,7 @@
     ticket->set_ticket("ticket-2");
     SECTION("in time")
     {
-        takeAdmission(*cell.leader, answer, cell.now);
+        handleAdmissionAnswer(*cell.leader, answer, cell.now);
         cell.run({50});
         const auto starts = cell.waiting(order_kind::Start);
         REQUIRE(starts.size() == 1);
@@ -140,11 +140,11 @@
     }
     SECTION("not once it has aged")
     {
-        takeAdmission(*cell.leader, answer, cell.now);
+        handleAdmissionAnswer(*cell.leader, answer, cell.now);
         cell.now = cell.now + milliseconds {1'400};
         cell.report("t1");
         cell.report("t2");
-        takeCaller(*cell.leader, "gateway-1", 1, cell.now);
+        registerCaller(*cell.leader, "gateway-1", 1, cell.now);
         cell.admissions.clear();
         cell.run({50});
         CHECK(cell.waiting(order_kind::Start).empty());
@@ -175,7 +175,7 @@
         for (const auto &target : targets) {
             cell.report(target);
         }
-        takeCaller(*cell.leader, "gateway-1", 1, cell.now);
+        registerCaller(*cell.leader, "gateway-1", 1, cell.now);
         cell.run({100});
         for (const auto &call : std::exchange(cell.admissions, {})) {
             messages::admission_answer answer;
@@ -188,7 +188,7 @@
                     answer.mutable_admitted(answer.admitted_size() - 1)->set_ticket("t");
                 }
             }
-            takeAdmission(*cell.leader, answer, cell.now);
+            handleAdmissionAnswer(*cell.leader, answer, cell.now);
         }
     }
     CHECK(asked.size() == targets.size());
@@ -225,7 +225,7 @@
             report(each);
         }
         for (int i = 0; i < callers; ++i) {
-            takeCaller(*leader, "gateway-" + std::to_string(i), 1, now);
+            registerCaller(*leader, "gateway-" + std::to_string(i), 1, now);
         }
         run({50});
     }
@@ -243,7 +243,7 @@
                 answer.add_admitted()->set_target(each);
                 answer.mutable_admitted(answer.admitted_size() - 1)->set_ticket("t");
             }
-            takeAdmission(*leader, answer, now);
+            handleAdmissionAnswer(*leader, answer, now);
         }
         return asked;
     }
@@ -286,7 +286,7 @@
     queueOf(cell)->set_priority(0);
     cell.accept("high", {cell.step(1)});
     cell.run({20});
-    takeCaller(*cell.leader, "gateway-1", 1, cell.now);
+    registerCaller(*cell.leader, "gateway-1", 1, cell.now);
     cell.run({20});
     REQUIRE(cell.admissions.size() == 1);
     CHECK(cell.admissions[0].request.step().job() == "low");
@@ -313,8 +313,8 @@
     cell.accept("j", {cell.step(1)});
     cell.lead();
     cell.report("t1");
-    takeCaller(*cell.leader, "gateway-1", 1, cell.now);
-    takeCaller(*cell.leader, "gateway-2", 1, cell.now);
+    registerCaller(*cell.leader, "gateway-1", 1, cell.now);
+    registerCaller(*cell.leader, "gateway-2", 1, cell.now);
     cell.run({20});
     REQUIRE(cell.admissions.size() == 1);
     cell.run({350});
@@ -334,7 +334,7 @@
     cell.accept("j", {cell.step(2), second});
     cell.lead();
     cell.report("t1");
-    takeCaller(*cell.leader, "gateway-1", 1, cell.now);
+    registerCaller(*cell.leader, "gateway-1", 1, cell.now);
     cell.run({20});
     const auto answerLast = [&] {
         messages::admission_answer answer;
@@ -343,7 +343,7 @@
         auto *ticket = answer.add_admitted();
         ticket->set_target("t1");
         ticket->set_ticket("ticket-" + std::to_string(cell.admissions.size()));
-        takeAdmission(*cell.leader, answer, cell.now);
+        handleAdmissionAnswer(*cell.leader, answer, cell.now);
         cell.run({20});
     };
     REQUIRE(cell.admissions.size() == 1);
@@ -355,7 +355,7 @@
     look.ends.push_back({1, {"j", 0, 0, 0}, 1, messages::END_DONE, {}});
     look.runs.push_back({{"j", 0, 0, 1}, 1, {}, 50, 0});
     cell.run({20});
-    cell.answer(order_kind::Look, order_result::Done, "t1", look);
+    cell.answer(order_kind::Poll, order_result::Done, "t1", look);
     cell.run({20});
     REQUIRE(cell.admissions.size() == 2);
     answerLast();
@@ -363,7 +363,7 @@
     look.ends[0] = {2, {"j", 0, 0, 1}, 1, messages::END_DONE, {}};
     look.runs.clear();
     cell.run({20});
-    cell.answer(order_kind::Look, order_result::Done, "t1", look);
+    cell.answer(order_kind::Poll, order_result::Done, "t1", look);
     cell.run({20});
     CHECK(cell.status({"j", 0, 1, 0}) == task_status::Running); // without a further call
     CHECK(cell.admissions.size() == 2);
@@ -378,10 +378,10 @@
     cell.accept("j", {cell.step(1)});
     cell.lead();
     cell.report("t1");
-    takeCaller(*cell.leader, "gateway-1", 1, cell.now);
+    registerCaller(*cell.leader, "gateway-1", 1, cell.now);
     cell.run({20});
     REQUIRE(cell.admissions.size() == 1);
-    takeCaller(*cell.leader, "gateway-1", 2, cell.now);
+    registerCaller(*cell.leader, "gateway-1", 2, cell.now);
     cell.run({20});
     CHECK(cell.admissions.size() == 2);
 }
@@ -410,11 +410,11 @@
 TEST_CASE("tasks that fill gaps slow down near a latency target and come back by steps",
           "[dispatch]")
 {
-    CHECK(nextPace(0.9, 100) == 25);
-    CHECK(nextPace(0.9, 25) == 0);
-    CHECK(nextPace(0.7, 25) == 25);
-    CHECK(nextPace(0.5, 25) == 50);
-    CHECK(nextPace(0.5, 100) == 100);
+    CHECK(nextWorkRate(0.9, 100) == 25);
+    CHECK(nextWorkRate(0.9, 25) == 0);
+    CHECK(nextWorkRate(0.7, 25) == 25);
+    CHECK(nextWorkRate(0.5, 25) == 50);
+    CHECK(nextWorkRate(0.5, 100) == 100);
 }
 
 TEST_CASE("an occurrence begins at its time, not before", "[dispatch]")
@@ -448,7 +448,7 @@
         job.mutable_steps(i)->set_estimate_ms(100 * (i + 1));
     }
     job.mutable_steps(2)->add_depends_on(0);
-    const auto chains = chainsOf(job);
+    const auto chains = criticalPathsOf(job);
     CHECK(chains[0].count == 400);
     CHECK(chains[1].count == 200);
     CHECK(chains[2].count == 300);
--- a/modules/filbert_dispatch/tests/target_conversation_test.cpp
+++ b/modules/filbert_dispatch/tests/target_conversation_test.cpp
@@ -25,8 +25,8 @@
     CHECK(starts[0].task == first);
     CHECK(starts[0].run == 1);
     CHECK(starts[0].fencingToken == 7);
-    CHECK(starts[0].leaseUntil > cell.now.ms);
-    CHECK(starts[0].leaseUntil <= cell.now.ms + cell.leader->settings.longestLease.count);
+    CHECK(starts[0].leaseExpiresAt > cell.now.ms);
+    CHECK(starts[0].leaseExpiresAt <= cell.now.ms + cell.leader->settings.maxTargetLease.count);
 }
 
 TEST_CASE("a new leader does not end leases that the one before has given", "[dispatch]")
@@ -57,7 +57,7 @@
     auto stale = work_fixture::life("t1", 1);
     stale.set_sequence(1);
     stale.set_clock_ms(cell.now.ms - 2'000);
-    takeReport(*cell.leader, stale, cell.now);
+    handleTargetReport(*cell.leader, stale, cell.now);
     cell.run({1'000});
     cell.report("t1");
     const auto mayEnd = tookOffice + cell.leader->settings.targetLease;
@@ -103,13 +103,13 @@
     }
     CHECK(tries >= 3);
     CHECK(cell.status(first) == task_status::Running);
-    cell.answer(order_kind::Look, order_result::Done); // sent before the stop: proves nothing
+    cell.answer(order_kind::Poll, order_result::Done); // sent before the stop: proves nothing
     cell.run({20});
     cell.answer(order_kind::Stop, order_result::Done);
     cell.run({20});
-    cell.answer(order_kind::Look, order_result::Done);
+    cell.answer(order_kind::Poll, order_result::Done);
     cell.run({300});
-    cell.answer(order_kind::Look, order_result::Done);
+    cell.answer(order_kind::Poll, order_result::Done);
     cell.run({20});
     CHECK(findTask(cell.state, first)->run >= 1);
     CHECK((cell.status(first) == task_status::Waiting || findTask(cell.state, first)->run == 2));
@@ -134,10 +134,10 @@
     cell.lead();
     cell.report("t1");
     cell.run({20});
-    cell.answer(order_kind::Look, order_result::Unreachable);
+    cell.answer(order_kind::Poll, order_result::Unreachable);
     CHECK_FALSE(cell.takesWorkAt("t1"));
     cell.run({400});
-    cell.answer(order_kind::Look, order_result::Done);
+    cell.answer(order_kind::Poll, order_result::Done);
     CHECK(cell.takesWorkAt("t1"));
 }
 
@@ -149,13 +149,13 @@
     cell.run({20});
     order_answer list;
     list.ends.push_back({4, first, 1, messages::END_DONE, ""});
-    cell.answer(order_kind::Look, order_result::Done, "t1", list);
-    CHECK(cell.waiting(order_kind::Look).empty());
+    cell.answer(order_kind::Poll, order_result::Done, "t1", list);
+    CHECK(cell.waiting(order_kind::Poll).empty());
     cell.run({20});
     CHECK(cell.statusOf("j") == job_status::Completed);
-    const auto looks = cell.waiting(order_kind::Look);
+    const auto looks = cell.waiting(order_kind::Poll);
     REQUIRE(looks.size() == 1);
-    CHECK(looks[0].lastEndTaken == 4);
+    CHECK(looks[0].lastAppliedEnd == 4);
 }
 
 TEST_CASE("ends are acknowledged only to the life that has listed them", "[dispatch]")
@@ -171,22 +171,22 @@
     order_answer list;
     list.ends.push_back({7, first, 1, messages::END_DONE, {}});
     list.runs.push_back({{"j", 0, 0, 1}, 1, {}, 50, 0});
-    cell.answer(order_kind::Look, order_result::Done, "t1", list);
+    cell.answer(order_kind::Poll, order_result::Done, "t1", list);
     cell.run({20});
-    auto looks = cell.waiting(order_kind::Look, "t1");
+    auto looks = cell.waiting(order_kind::Poll, "t1");
     REQUIRE(looks.size() == 1);
-    CHECK(looks[0].lastEndTaken == 7);
-    cell.answer(order_kind::Look, order_result::Unanswered); // its process may have ended
+    CHECK(looks[0].lastAppliedEnd == 7);
+    cell.answer(order_kind::Poll, order_result::Unanswered); // its process may have ended
     cell.run({300});
-    looks = cell.waiting(order_kind::Look, "t1");
+    looks = cell.waiting(order_kind::Poll, "t1");
     REQUIRE(looks.size() == 1);
-    CHECK(looks[0].lastEndTaken == 0); // another life has ends of its own under these numbers
+    CHECK(looks[0].lastAppliedEnd == 0); // another life has ends of its own under these numbers
     list.ends.clear();
-    cell.answer(order_kind::Look, order_result::Done, "t1", list);
+    cell.answer(order_kind::Poll, order_result::Done, "t1", list);
     cell.run({20});
-    looks = cell.waiting(order_kind::Look, "t1");
+    looks = cell.waiting(order_kind::Poll, "t1");
     REQUIRE(looks.size() == 1);
-    CHECK(looks[0].lastEndTaken == 7);
+    CHECK(looks[0].lastAppliedEnd == 7);
 }
 
 TEST_CASE("runs of a cancelled job are stopped, and strays too", "[dispatch]")
@@ -197,7 +197,7 @@
     messages::work_command cancel;
     cancel.set_cancel("j");
     cell.apply(cancel);
-    afterCommand(*cell.leader, cancel, false, cell.now);
+    handleCommittedCommand(*cell.leader, cancel, false, cell.now);
     cell.run({20});
     REQUIRE(cell.waiting(order_kind::Stop).size() == 1);
     cell.answer(order_kind::Stop, order_result::Done);
@@ -206,7 +206,7 @@
     stray.task = {"other", 0, 0, 0};
     stray.run = 3;
     list.runs.push_back(stray);
-    cell.answer(order_kind::Look, order_result::Done, "t1", list);
+    cell.answer(order_kind::Poll, order_result::Done, "t1", list);
     cell.run({300});
     const auto stops = cell.waiting(order_kind::Stop);
     REQUIRE(!stops.empty());
@@ -227,18 +227,18 @@
     cell.run({30});
     const auto stops = cell.waiting(order_kind::Stop, "t1");
     REQUIRE(stops.size() == 1);
-    CHECK(stops[0].born == 2);
+    CHECK(stops[0].incarnation == 2);
     CHECK(cell.status(first) == task_status::Running);
     cell.answer(order_kind::Stop, order_result::Done);
     cell.report("t1", 2);
     cell.run({30});
     CHECK(findTask(cell.state, first)->run == 1); // it may be there, and take a while to stop
-    cell.answer(order_kind::Look, order_result::Done, "t1");
+    cell.answer(order_kind::Poll, order_result::Done, "t1");
     cell.run({200});
-    cell.answer(order_kind::Look, order_result::Done, "t1"); // sent after the stop's answer
+    cell.answer(order_kind::Poll, order_result::Done, "t1"); // sent after the stop's answer
     cell.run({30});
     CHECK(findTask(cell.state, first)->run == 2);
-    CHECK(findTask(cell.state, first)->born == 2);
+    CHECK(findTask(cell.state, first)->incarnation == 2);
 }
 
 TEST_CASE("a lease of the life before is not taken for ended by the clock of the new one",
@@ -271,7 +271,7 @@
     auto late = work_fixture::life("t1", 1);
     late.set_sequence(3);
     late.set_clock_ms(5);
-    CHECK_FALSE(takeReport(*cell.leader, late, cell.now));
+    CHECK_FALSE(handleTargetReport(*cell.leader, late, cell.now));
     CHECK(cell.leader->targets.at("t1").clockMs == cell.now.ms);
 }
 
@@ -305,19 +305,19 @@
 {
     dispatch_fixture cell;
     cell.placeOne();
-    takeLeave(*cell.leader, "t1", cell.now);
+    handleTargetLeaving(*cell.leader, "t1", cell.now);
     const auto lease = cell.leader->settings.targetLease;
     for (const auto end = cell.now + lease; cell.now < end;) {
         cell.obey("t1"); // its good-bye was not acknowledged: it runs on
-        for (const auto &order : cell.waiting(order_kind::Look)) {
-            CHECK(order.leaseUntil == 0);
+        for (const auto &order : cell.waiting(order_kind::Poll)) {
+            CHECK(order.leaseExpiresAt == 0);
         }
         cell.run({100});
         CHECK(cell.status(first) == task_status::Running);
     }
     cell.run({600});
     CHECK(cell.status(first) == task_status::Waiting);
-    CHECK(cell.state.lives.at("t1").isOver);
+    CHECK(cell.state.targets.at("t1").hasEnded);
 }
 
 TEST_CASE("a task that makes no progress is stopped and its target is avoided", "[dispatch]")
@@ -331,9 +331,9 @@
         reported_run run;
         run.task = first;
         run.run = 1;
-        run.percent = 12;
+        run.percentDone = 12;
         list.runs.push_back(run);
-        cell.answer(order_kind::Look, order_result::Done, "t1", list);
+        cell.answer(order_kind::Poll, order_result::Done, "t1", list);
         cell.run({100});
     }
     CHECK(cell.waiting(order_kind::Stop).size() == 1);
@@ -361,12 +361,12 @@
     cell.lead();
     cell.report("t1");
     cell.run({4'000});
-    cell.answer(order_kind::Look, order_result::Unreachable);
+    cell.answer(order_kind::Poll, order_result::Unreachable);
     cell.run({1'000});
-    CHECK(cell.waiting(order_kind::Look).empty());
+    CHECK(cell.waiting(order_kind::Poll).empty());
     cell.report("t1");
     cell.run({100});
-    CHECK(cell.waiting(order_kind::Look).size() == 1);
+    CHECK(cell.waiting(order_kind::Poll).size() == 1);
 }
 
 namespace {
@@ -395,17 +395,17 @@
     loseAnswers(cell);
     cell.obey("t1");
     cell.run({20});
-    REQUIRE(cell.waiting(order_kind::Look, "t1").size() == 1);
+    REQUIRE(cell.waiting(order_kind::Poll, "t1").size() == 1);
     cell.run({450}); // an end is listed meanwhile, and the look's answer does not come
-    CHECK(cell.waiting(order_kind::Look, "t1").size() == 2);
+    CHECK(cell.waiting(order_kind::Poll, "t1").size() == 2);
     order_answer late;
     late.ends.push_back({1, {"j", 0, 0, 0}, 1, messages::END_DONE, {}});
-    const auto open = cell.waiting(order_kind::Look, "t1");
+    const auto open = cell.waiting(order_kind::Poll, "t1");
     const auto where = cell.targetOf({"j", 0, 0, 0});
     late.ends[0].task.index = where == "t1" ? 0 : 1;
     late.result = order_result::Done;
     late.clockMs = cell.now.ms;
-    takeOrderAnswer(*cell.leader, open[0], late, cell.now); // the older one: its word counts
+    handleOrderAnswer(*cell.leader, open[0], late, cell.now); // the older one: its word counts
     cell.run({20});
     CHECK(cell.status(late.ends[0].task) == task_status::Done);
 }
@@ -418,12 +418,12 @@
     cell.obey("t1");
     cell.obey("t2");
     cell.run({100});
-    cell.answer(order_kind::Look, order_result::Unanswered);
+    cell.answer(order_kind::Poll, order_result::Unanswered);
     cell.run({20});
     CHECK_FALSE(cell.leader->targets.at("t1").isSuspect);
     for (int i = 0; i < 3; ++i) { // it stays silent for longer than looks get lost in a row
         cell.run({450});
-        cell.answer(order_kind::Look, order_result::Unanswered, "t1");
+        cell.answer(order_kind::Poll, order_result::Unanswered, "t1");
     }
     CHECK(cell.leader->targets.at("t1").isSuspect);
 }
@@ -437,7 +437,7 @@
     cell.answer(order_kind::Start, order_result::Done);
     cell.obey("t1");
     cell.run({20});
-    const auto looks = cell.waiting(order_kind::Look);
+    const auto looks = cell.waiting(order_kind::Poll);
     REQUIRE(looks.size() == 1);
-    CHECK(looks.back().wait == cell.leader->settings.lookWait);
+    CHECK(looks.back().pollWait == cell.leader->settings.pollWait);
 }
--- a/modules/filbert_dispatch/ticket_requests.cpp
+++ b/modules/filbert_dispatch/ticket_requests.cpp
@@ -33,11 +33,12 @@
 
 std::size_t costlyCallsNow(const placement_pass &pass)
 {
-    return std::clamp<std::size_t>(spareCallers(pass.state, pass.now) / sparePerCall, 1,
+    return std::clamp<std::size_t>(countSpareCallers(pass.state, pass.now) / sparePerCall, 1,
                                    mostCostlyCalls);
 }
 
-void request(placement_pass &pass, const open_step &step, const std::vector<std::string> &targets)
+void request(placement_pass &pass, const pending_step &step,
+             const std::vector<std::string> &targets)
 {
     requestAdmission(pass.state, step.name, *step.queue, targets,
                      isCostly(*step.queue) ? targetsPerCostlyCall : targetsPerRequest, pass.now);
@@ -45,18 +46,18 @@
 
 /** @return targets to name in a request, the best fits with free capacity first
     @param isRefresh  whether to renew tickets, instead of requesting those of further targets */
-std::vector<std::string> targetsToAsk(const placement_pass &pass, const open_step &step,
+std::vector<std::string> targetsToAsk(const placement_pass &pass, const pending_step &step,
                                       const service_view &service, const admission_view &view,
                                       bool isRefresh)
 {
     constexpr double fullCost = 1'000.0; // puts targets without capacity after all others
     std::vector<std::pair<double, std::size_t>> wanted;
-    for (std::size_t i = 0; i < service.rooms.size(); ++i) {
-        const auto &room = service.rooms[i];
+    for (std::size_t i = 0; i < service.candidates.size(); ++i) {
+        const auto &room = service.candidates[i];
         const auto &id = room.target->id;
         if (isEligible(step, room)
-            && (isRefresh ? view.admitted.contains(id) : !view.asked.contains(id))) {
-            const bool hasRoom = hasRoomFor(pass, step, service, room);
+            && (isRefresh ? view.tickets.contains(id) : !view.requestedTargets.contains(id))) {
+            const bool hasRoom = hasCapacityFor(pass, step, service, room);
             wanted.emplace_back(fitCost(step, room) + (hasRoom ? 0.0 : fullCost), i);
         }
     }
@@ -71,7 +72,7 @@
                       wanted.end());
     std::vector<std::string> ids;
     for (std::size_t i = 0; i < count; ++i) {
-        ids.push_back(service.rooms[wanted[i].second].target->id);
+        ids.push_back(service.candidates[wanted[i].second].target->id);
     }
     return ids;
 }
@@ -88,19 +89,19 @@
 }
 
 /** Whether the admitted targets have capacity for what starts at once: a task or a whole gang. */
-bool hasAdmittedRoom(const placement_pass &pass, const open_step &step, const service_view &service,
-                     const admission_view &view)
+bool hasAdmittedRoom(const placement_pass &pass, const pending_step &step,
+                     const service_view &service, const admission_view &view)
 {
     const std::int64_t wanted = step.spec->is_gang() ? step.spec->count() : 1;
     std::int64_t found = 0;
-    for (const auto &[id, ticket] : view.admitted) {
-        const auto index = service.byId.find(id);
-        if (index == service.byId.end()) {
+    for (const auto &[id, ticket] : view.tickets) {
+        const auto index = service.candidateById.find(id);
+        if (index == service.candidateById.end()) {
             continue;
         }
-        const auto &room = service.rooms[index->second];
-        if (isEligible(step, room) && hasRoomFor(pass, step, service, room)) {
-            found += countFitting(step.need, room.left, wanted);
+        const auto &room = service.candidates[index->second];
+        if (isEligible(step, room) && hasCapacityFor(pass, step, service, room)) {
+            found += countFitting(step.need, room.free, wanted);
         }
     }
     return found >= wanted;
@@ -108,16 +109,16 @@
 
 } // namespace
 
-void askAdmission(placement_pass &pass, const open_step &step, const service_view &service)
+void requestTickets(placement_pass &pass, const pending_step &step, const service_view &service)
 {
     if (!step.queue->has_admission()) {
         return;
     }
     auto &view = pass.state.admissions[step.name];
-    if (view.openRequests > 0 || pass.now < view.notBefore) {
+    if (view.pendingRequests > 0 || pass.now < view.nextRequestAt) {
         return;
     }
-    if (view.asked.empty()) {
+    if (view.requestedTargets.empty()) {
         request(pass, step, targetsToAsk(pass, step, service, view, false));
         return;
     }
@@ -127,26 +128,26 @@
         return;
     }
     const auto others = targetsToAsk(pass, step, service, view, false);
-    const bool hasFresh = std::any_of(view.admitted.begin(), view.admitted.end(), [&](auto &each) {
-        return isUsable(pass.state, each.second, policy, pass.now);
+    const bool hasFresh = std::any_of(view.tickets.begin(), view.tickets.end(), [&](auto &each) {
+        return isTicketUsable(pass.state, each.second, policy, pass.now);
     });
     if (!others.empty()) {
         request(pass, step, others);
     } else if (admissionTime(policy, 1) >= slowPolicy && !hasFresh) {
         request(pass, step, targetsToAsk(pass, step, service, view, true));
     }
-    view.notBefore = pass.now + askPause;
+    view.nextRequestAt = pass.now + askPause;
 }
 
-void askAhead(placement_pass &pass, const open_step &step)
+void prefetchTickets(placement_pass &pass, const pending_step &step)
 {
     const bool isQuick = step.queue->has_admission()
-        && admissionTime(step.queue->admission(), targetsPerRequest) <= quickAdmission;
+        && admissionTime(step.queue->admission(), targetsPerRequest) <= maxQuickAdmissionTime;
     if (!isQuick) {
         return;
     }
     auto &admission = pass.state.admissions[step.name];
-    if (!admission.asked.empty() || admission.openRequests > 0) {
+    if (!admission.requestedTargets.empty() || admission.pendingRequests > 0) {
         return;
     }
     const auto &service = serviceOf(pass, step.queue->service());
--- a/modules/filbert_gateway/configuration_lease.cpp
+++ b/modules/filbert_gateway/configuration_lease.cpp
@@ -11,12 +11,12 @@
     hello.set_gateway(gateway);
     hello.set_version(lease.configuration.version());
     hello.set_digest(lease.configuration.digest());
-    hello.set_members_index(lease.membersIndex);
+    hello.set_members_index(lease.membershipIndex);
     return hello;
 }
 
-bool takeGrant(configuration_lease &lease, const messages::configuration_grant &grant,
-               time_point sentAt)
+bool applyGrant(configuration_lease &lease, const messages::configuration_grant &grant,
+                time_point sentAt)
 {
     const auto held = lease.configuration.version();
     if (grant.version() < held) {
@@ -28,13 +28,13 @@
     }
     if (!isDelta || grant.version() != held) {
         auto next = isDelta ? lease.configuration : cell_configuration {};
-        next.applyItems(grant.items(), grant.version());
+        next.applyChanges(grant.items(), grant.version());
         if (next.digest() != grant.digest() && grant.version() != 0) {
             log_line {"configuration_digest_differs", log_line::severity::Error}
                 .with("version", grant.version())
                 .with("from_version", grant.from_version());
             lease.configuration.clear(); // the next hello gets the whole
-            lease.until = {};
+            lease.expiresAt = {};
             return false;
         }
         if (grant.version() != held) {
@@ -44,18 +44,18 @@
         }
         lease.configuration = std::move(next);
     }
-    lease.until = std::max(lease.until, sentAt + milliseconds {grant.lease_ms()});
-    lease.gateways = std::max(1, grant.gateways());
+    lease.expiresAt = std::max(lease.expiresAt, sentAt + milliseconds {grant.lease_ms()});
+    lease.gatewayCount = std::max(1, grant.gateways());
     if (grant.has_members()) {
         lease.members = grant.members();
     }
-    lease.membersIndex = grant.members_index();
+    lease.membershipIndex = grant.members_index();
     return true;
 }
 
 bool isInForce(const configuration_lease &lease, time_point now)
 {
-    return lease.configuration.version() > 0 && now < lease.until;
+    return lease.configuration.version() > 0 && now < lease.expiresAt;
 }
 
 } // namespace filbert
--- a/modules/filbert_gateway/configuration_lease.h
+++ b/modules/filbert_gateway/configuration_lease.h
@@ -12,10 +12,10 @@
 struct configuration_lease
 {
     cell_configuration configuration;
-    time_point until;
-    int gateways = 1;
+    time_point expiresAt;
+    int gatewayCount = 1;
     messages::membership members;
-    std::uint64_t membersIndex = 0;
+    std::uint64_t membershipIndex = 0;
 };
 
 /** @return the hello that asks for a renewal */
@@ -28,8 +28,8 @@
     @param sentAt  when the hello left, on the own clock; the lease counts from there
     @return false if the grant does not fit what is held; the next hello asks for the whole then
 */
-bool takeGrant(configuration_lease &lease, const messages::configuration_grant &grant,
-               time_point sentAt);
+bool applyGrant(configuration_lease &lease, const messages::configuration_grant &grant,
+                time_point sentAt);
 
 /** @return whether work may be taken now */
 bool isInForce(const configuration_lease &lease, time_point now);
--- a/modules/filbert_gateway/controller_links.cpp
+++ b/modules/filbert_gateway/controller_links.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr milliseconds retryPause {50};
+constexpr milliseconds retryDelay {50};
 constexpr milliseconds silentLeaderPause {500};
-constexpr milliseconds silentSpan {1'000};
+constexpr milliseconds silenceTimeout {1'000};
 constexpr milliseconds switchPause {200};
 constexpr int messageFormat = 1;
 
@@ -24,7 +24,7 @@
 {
     FILBERT_INVARIANT(!addresses.empty(), "at least one controller is named");
     for (const auto &address : addresses) {
-        transport.prepare(address);
+        transport.connect(address);
     }
 }
 
@@ -46,41 +46,42 @@
 void controller_links::trySend(exchange &which, time_point now)
 {
     which.sentAt = now;
-    which.isUnanswered = transport.send(leader(), which.envelope);
-    which.silentSends += which.isUnanswered ? 1 : 0;
-    which.retryAt = now + retryPause;
-    if (!which.isUnanswered && now - lastSwitch >= switchPause) {
+    which.mayHaveBeenTaken = transport.send(leader(), which.envelope);
+    which.unansweredSends += which.mayHaveBeenTaken ? 1 : 0;
+    which.retryAt = now + retryDelay;
+    if (!which.mayHaveBeenTaken && now - lastSwitch >= switchPause) {
         lastSwitch = now;
         tryNext(now);
     }
 }
 
-bool controller_links::isSilent(const std::string &address, time_point now) const
+bool controller_links::isUnresponsive(const std::string &address, time_point now) const
 {
-    return address == silentAddress && now < silentUntil;
+    return address == unresponsiveAddress && now < unresponsiveUntil;
 }
 
 void controller_links::tryNext(time_point now)
 {
     current = (current + 1) % addresses.size();
-    if (isSilent(leader(), now)) {
+    if (isUnresponsive(leader(), now)) {
         current = (current + 1) % addresses.size();
     }
 }
 
-void controller_links::leaveSilentLeader(time_point now)
+void controller_links::leaveUnresponsiveLeader(time_point now)
 {
     // Others go on naming it as the leader until they elect a new one.
-    silentAddress = leader();
-    silentUntil = now + silentSpan;
+    unresponsiveAddress = leader();
+    unresponsiveUntil = now + silenceTimeout;
     lastSwitch = now;
     for (const auto &address : addresses) {
-        transport.renew(address); // whatever lost track of one connection may have lost them all
+        transport.reconnect(
+            address); // whatever lost track of one connection may have lost them all
     }
     tryNext(now);
     for (auto &[id, which] : open) {
-        if (which.isUnanswered && which.rule == resend_rule::WhenUnanswered) {
-            which.isUnanswered = false;
+        if (which.mayHaveBeenTaken && which.rule == resend_rule::WhenUnanswered) {
+            which.mayHaveBeenTaken = false;
             which.retryAt = now;
         }
     }
@@ -97,8 +98,8 @@
     current = static_cast<std::size_t>(found - addresses.begin());
 }
 
-bool controller_links::takeAnswer(const std::string &address, const messages::envelope &envelope,
-                                  time_point now)
+bool controller_links::handleAnswer(const std::string &address, const messages::envelope &envelope,
+                                    time_point now)
 {
     const auto found = open.find(envelope.exchange());
     if (found == open.end()) {
@@ -106,11 +107,11 @@
     }
     if (envelope.body_case() == messages::envelope::kNotLeader) {
         auto &which = found->second;
-        which.isUnanswered = false;
-        --which.silentSends;
-        which.retryAt = now + retryPause;
+        which.mayHaveBeenTaken = false;
+        --which.unansweredSends;
+        which.retryAt = now + retryDelay;
         const auto &hint = envelope.not_leader().address();
-        if (!hint.empty() && hint != address && !isSilent(hint, now)) {
+        if (!hint.empty() && hint != address && !isUnresponsive(hint, now)) {
             point(hint);
             which.retryAt = now;
         } else if (address == leader() && now - lastSwitch >= switchPause) {
@@ -120,39 +121,39 @@
         return true;
     }
     lastAnswer = now;
-    silentUntil = address == silentAddress ? time_point {} : silentUntil;
+    unresponsiveUntil = address == unresponsiveAddress ? time_point {} : unresponsiveUntil;
     const auto answered = std::move(found->second);
     open.erase(found);
     answered.onAnswer({}, envelope);
     return true;
 }
 
-void controller_links::takeTime(time_point now)
+void controller_links::tick(time_point now)
 {
     std::vector<std::uint64_t> late;
     bool isLeaderSilent = false;
     for (auto &[id, which] : open) {
         if (now >= which.deadline) {
             late.push_back(id);
-        } else if (!which.isUnanswered && now >= which.retryAt) {
+        } else if (!which.mayHaveBeenTaken && now >= which.retryAt) {
             trySend(which, now);
-        } else if (which.isUnanswered && now - which.sentAt >= which.patience) {
+        } else if (which.mayHaveBeenTaken && now - which.sentAt >= which.patience) {
             // If nothing at all has come since, the leader may be cut off, or lead no more.
             isLeaderSilent = isLeaderSilent || lastAnswer < which.sentAt;
             if (which.rule == resend_rule::WhenUnanswered) {
-                which.isUnanswered = false;
+                which.mayHaveBeenTaken = false;
                 which.retryAt = now;
                 which.patience = which.patience * 2;
             }
         }
     }
     if (isLeaderSilent && now - lastSwitch >= silentLeaderPause) {
-        leaveSilentLeader(now);
+        leaveUnresponsiveLeader(now);
     }
     for (const auto id : late) {
         const auto which = std::move(open.at(id));
         open.erase(id);
-        which.onAnswer(which.silentSends > 0 ? error_kind::Timeout : error_kind::NoLeader, {});
+        which.onAnswer(which.unansweredSends > 0 ? error_kind::Timeout : error_kind::NoLeader, {});
     }
 }
 
@@ -167,7 +168,7 @@
     for (const auto &member : members.members()) {
         if (std::find(addresses.begin(), addresses.end(), member.address()) == addresses.end()) {
             addresses.push_back(member.address());
-            transport.prepare(member.address());
+            transport.connect(member.address());
         }
     }
     if (members.members_size() == 0) {
--- a/modules/filbert_gateway/controller_links.h
+++ b/modules/filbert_gateway/controller_links.h
@@ -18,10 +18,10 @@
     virtual ~controller_transport() = default;
 
     /** Connects beforehand, so that a later send() need not wait. @param address "tcp://IP:port" */
-    virtual void prepare(const std::string &address) = 0;
+    virtual void connect(const std::string &address) = 0;
 
     /** Replaces the connection, which may have gone silent, by a new one. */
-    virtual void renew(const std::string &address) = 0;
+    virtual void reconnect(const std::string &address) = 0;
 
     /** @param address "tcp://IP:port" @return false if it certainly was not sent */
     virtual bool send(const std::string &address, const messages::envelope &envelope) = 0;
@@ -58,10 +58,11 @@
                  time_point now, handler onAnswer);
 
     /** Takes an answer of a controller. @return false if no exchange waits for it */
-    bool takeAnswer(const std::string &address, const messages::envelope &envelope, time_point now);
+    bool handleAnswer(const std::string &address, const messages::envelope &envelope,
+                      time_point now);
 
     /** Lets time pass: sends again, gives up. */
-    void takeTime(time_point now);
+    void tick(time_point now);
 
     /** Takes over the members of the cell. */
     void setMembers(const messages::membership &members);
@@ -81,15 +82,15 @@
         time_point sentAt;
         time_point retryAt;
         resend_rule rule = resend_rule::Never;
-        bool isUnanswered = false; // sent, and neither taken nor turned away as far as is known
-        int silentSends = 0; // sendings that got no answer at all
+        bool mayHaveBeenTaken = false; // sent, and neither taken nor turned away as far as is known
+        int unansweredSends = 0; // sendings that got no answer at all
         milliseconds patience {500}; // with the next answer; doubles with each resend
     };
 
     void trySend(exchange &open, time_point now);
     void tryNext(time_point now);
-    void leaveSilentLeader(time_point now);
-    bool isSilent(const std::string &address, time_point now) const;
+    void leaveUnresponsiveLeader(time_point now);
+    bool isUnresponsive(const std::string &address, time_point now) const;
     void point(const std::string &address);
 
     std::string name;
@@ -97,8 +98,8 @@
     controller_transport &transport;
     std::map<std::uint64_t, exchange> open;
     std::size_t current = 0;
-    std::string silentAddress; // hints to it are not followed for a while
-    time_point silentUntil;
+    std::string unresponsiveAddress; // hints to it are not followed for a while
+    time_point unresponsiveUntil;
     std::uint64_t lastExchange = 0;
     time_point lastAnswer;
     time_point lastSwitch;
--- a/modules/filbert_gateway/gateway.cpp
+++ b/modules/filbert_gateway/gateway.cpp
@@ -37,8 +37,8 @@
     {"DELETE", "/v1/jobs/", "", cancelJob},
     {"POST", "/v1/jobs/", "/hold", holdJob},
     {"POST", "/v1/jobs/", "/release", releaseJob},
-    {"POST", "/v1/targets/", "/announce", announceTarget},
-    {"POST", "/v1/targets/", "/heartbeat", takeTargetHeartbeat},
+    {"POST", "/v1/targets/", "/announce", handleAnnouncement},
+    {"POST", "/v1/targets/", "/heartbeat", handleTargetHeartbeat},
     {"PUT", "/v1/configuration", "", applyConfiguration},
     {"GET", "/v1/configuration", "", showConfiguration},
     {"GET", "/v1/status", "", showStatus},
@@ -62,7 +62,7 @@
 
 void answerHealth(gateway::parts &parts, const http_request &request, bool isReady)
 {
-    http_answer answer;
+    http_response answer;
     answer.contentType = "text/plain";
     if (request.path == "/metrics") {
         answer.body = parts.metrics.text();
@@ -80,18 +80,18 @@
     messages::envelope envelope;
     *envelope.mutable_hello() = makeHello(parts.lease, parts.settings.name);
     envelope.mutable_hello()->set_leaving(false);
-    parts.isHelloOpen = true;
+    parts.isHelloPending = true;
     const auto sentAt = parts.now;
     constexpr milliseconds patience {800};
     parts.links.request(std::move(envelope), patience, resend_rule::Never, parts.now,
                         [&parts, sentAt](std::error_code error, const messages::envelope &answer) {
-                            parts.isHelloOpen = false;
+                            parts.isHelloPending = false;
                             if (error || !answer.has_grant()) {
                                 return;
                             }
-                            takeGrant(parts.lease, answer.grant(), sentAt);
+                            applyGrant(parts.lease, answer.grant(), sentAt);
                             parts.links.setMembers(parts.lease.members);
-                            parts.targets.setGateways(parts.lease.gateways);
+                            parts.targets.setGateways(parts.lease.gatewayCount);
                             parts.metrics.setConfigurationVersion(
                                 parts.lease.configuration.version());
                         });
@@ -104,10 +104,10 @@
     if (!used.insert(placement).second) {
         return false;
     }
-    usedByAge.push_back(placement);
-    if (usedByAge.size() > keptUses) {
-        used.erase(usedByAge.front());
-        usedByAge.pop_front();
+    usedPlacementsByAge.push_back(placement);
+    if (usedPlacementsByAge.size() > keptUses) {
+        used.erase(usedPlacementsByAge.front());
+        usedPlacementsByAge.pop_front();
     }
     return true;
 }
@@ -115,13 +115,13 @@
 void gateway::parts::answerProblem(std::uint64_t request, error_kind kind,
                                    const std::string &detail, milliseconds retryAfter)
 {
-    callers.respond(request, problemAnswer(kind, detail, retryAfter));
+    callers.respond(request, problemResponse(kind, detail, retryAfter));
 }
 
 void gateway::parts::answerMessage(std::uint64_t request, int status,
                                    const google::protobuf::Message &message)
 {
-    http_answer answer;
+    http_response answer;
     answer.status = status;
     answer.body = writeJson(message);
     callers.respond(request, std::move(answer));
@@ -131,7 +131,7 @@
                                    const messages::envelope &answer)
 {
     if (error) {
-        answerProblem(request, kindOf(error), "no controller answered", milliseconds {1'000});
+        answerProblem(request, errorKindOf(error), "no controller answered", milliseconds {1'000});
         return;
     }
     if (!answer.has_refused()) {
@@ -152,12 +152,12 @@
     const auto token = std::string_view {request.authorization}.substr(bearerPrefix.size());
     const auto &configuration = parts.lease.configuration;
     const auto &bootstrap = parts.settings.bootstrapOperator;
-    const bool mayBootstrap = role == key_role::Operator && !configuration.hasOperator()
-        && parts.now < parts.lease.until && !bootstrap.id().empty();
+    const bool mayBootstrap = role == key_role::Operator && !configuration.hasOperators()
+        && parts.now < parts.lease.expiresAt && !bootstrap.id().empty();
     if (mayBootstrap && keyIdOf(token) == bootstrap.id()) {
         *owner = {key_role::Operator, "bootstrap", bootstrap.id()};
-        return isSecretOf(secretOf(token), bootstrap) ? std::error_code {}
-                                                      : error_kind::Unauthorized;
+        return isSecretValid(secretOf(token), bootstrap) ? std::error_code {}
+                                                         : error_kind::Unauthorized;
     }
     if (!isInForce(parts.lease, parts.now)) {
         return error_kind::NotInForce;
@@ -176,7 +176,7 @@
 
 gateway::~gateway() = default;
 
-void gateway::takeRequest(http_request &&request, time_point now)
+void gateway::handleRequest(http_request &&request, time_point now)
 {
     self->now = now;
     const auto &path = request.path;
@@ -200,44 +200,44 @@
                         isKnownPath ? error_kind::MethodNotAllowed : error_kind::NotFound, path);
 }
 
-void gateway::takeOrder(const messages::envelope &envelope, time_point now)
+void gateway::handleOrder(const messages::envelope &envelope, time_point now)
 {
     self->now = now;
     if (envelope.has_dispatched()) {
-        endStrayGrant(*self, envelope.dispatched());
+        returnUnusedGrant(*self, envelope.dispatched());
     } else if (envelope.has_start()) {
-        sendStartOrder(*self, envelope.start());
+        relayStartOrder(*self, envelope.start());
     } else if (envelope.has_stop()) {
-        sendStopOrder(*self, envelope.stop());
+        relayStopOrder(*self, envelope.stop());
     } else if (envelope.has_notice()) {
-        takeNotice(*self, envelope.notice());
+        handlePlacementNotice(*self, envelope.notice());
     }
 }
 
-void gateway::takeTime(time_point now)
+void gateway::tick(time_point now)
 {
     self->now = now;
-    self->links.takeTime(now);
+    self->links.tick(now);
     while (!self->later.empty() && self->later.begin()->first <= now) {
         const auto due = self->later.extract(self->later.begin());
         due.mapped()();
     }
-    if (now >= self->nextHello && !self->isHelloOpen) {
+    if (now >= self->nextHello && !self->isHelloPending) {
         self->nextHello = now + self->settings.helloPeriod;
         sendHello(*self);
     }
     self->retryTokens = std::min(self->retryTokens, mostRetryTokens);
 }
 
-void gateway::startStopping(time_point now)
+void gateway::startDraining(time_point now)
 {
     self->now = now;
     self->isStopping = true;
 }
 
-bool gateway::hasContact(time_point now) const
+bool gateway::hasLeaderContact(time_point now) const
 {
-    return now < self->lease.until;
+    return now < self->lease.expiresAt;
 }
 
 bool gateway::isReady(time_point now) const
--- a/modules/filbert_gateway/gateway.h
+++ b/modules/filbert_gateway/gateway.h
@@ -16,7 +16,7 @@
 {
 public:
     virtual ~caller_port() = default;
-    virtual void respond(std::uint64_t request, http_answer &&answer) = 0;
+    virtual void respond(std::uint64_t request, http_response &&answer) = 0;
 };
 
 /** One order or request to a target. */
@@ -35,7 +35,7 @@
 class target_port
 {
 public:
-    using handler = std::function<void(std::error_code, http_answer &&)>;
+    using handler = std::function<void(std::error_code, http_response &&)>;
 
     virtual ~target_port() = default;
     virtual void call(target_call &&call, handler onAnswer) = 0;
@@ -55,7 +55,7 @@
     messages::access_key bootstrapOperator; // counts while no operator is configured
     milliseconds helloPeriod {500};
     milliseconds defaultDeadline {10'000};
-    milliseconds longestDeadline {120'000};
+    milliseconds maxDeadline {120'000};
     double retryBudget = 0.1; // retries for each first try
 };
 
@@ -74,22 +74,22 @@
     gateway &operator=(const gateway &) = delete;
 
     /** A whole request came in. */
-    void takeRequest(http_request &&request, time_point now);
+    void handleRequest(http_request &&request, time_point now);
 
     /** A controller sent what no request waits for: an order for a target, or a grant too late. */
-    void takeOrder(const messages::envelope &envelope, time_point now);
+    void handleOrder(const messages::envelope &envelope, time_point now);
 
     /** Lets time pass; call it every 10 to 50 ms. */
-    void takeTime(time_point now);
+    void tick(time_point now);
 
     /** Stops to be ready for the balancer; goes on serving what comes. */
-    void startStopping(time_point now);
+    void startDraining(time_point now);
 
     /** @return whether the balancer may send callers here */
     bool isReady(time_point now) const;
 
     /** @return whether a leader has been heard of late, with or without a configuration */
-    bool hasContact(time_point now) const;
+    bool hasLeaderContact(time_point now) const;
 
     struct parts; // for the routes, see gateway_parts.h
 
--- a/modules/filbert_gateway/gateway_metrics.cpp
+++ b/modules/filbert_gateway/gateway_metrics.cpp
@@ -27,11 +27,12 @@
                    .Help("Requests that were sent to another target")
                    .Register(*registry)
                    .Add({})}
-    , silentConnections {prometheus::BuildCounter()
-                             .Name("filbert_gateway_silent_connections_total")
-                             .Help("Connections to targets that brought no answer to ended work")
-                             .Register(*registry)
-                             .Add({})}
+    , unresponsiveConnections {prometheus::BuildCounter()
+                                   .Name("filbert_gateway_silent_connections_total")
+                                   .Help("Connections to targets that brought no answer to ended "
+                                         "work")
+                                   .Register(*registry)
+                                   .Add({})}
     , configurationVersion {prometheus::BuildGauge()
                                 .Name("filbert_gateway_configuration_version")
                                 .Help("Version of the configuration in force")
@@ -42,7 +43,8 @@
 
 void gateway_metrics::countRequest(const std::string &service, error_kind kind, milliseconds took)
 {
-    requests.Add({{"service", service}, {"result", std::string {errorRow(kind).name}}}).Increment();
+    requests.Add({{"service", service}, {"result", std::string {errorInfo(kind).name}}})
+        .Increment();
     latencies.Add({{"service", service}}, secondsBuckets)
         .Observe(static_cast<double>(took.count) * secondsPerMillisecond);
 }
--- a/modules/filbert_gateway/gateway_metrics.h
+++ b/modules/filbert_gateway/gateway_metrics.h
@@ -26,7 +26,7 @@
 
     /** Counts a connection to a target that brought no answer though the target had ended the work.
      */
-    void countSilentConnection() { silentConnections.Increment(); }
+    void countUnresponsiveConnection() { unresponsiveConnections.Increment(); }
 
     void setConfigurationVersion(std::int64_t version)
     {
@@ -41,7 +41,7 @@
     prometheus::Family<prometheus::Counter> &requests;
     prometheus::Family<prometheus::Histogram> &latencies;
     prometheus::Counter &retries;
-    prometheus::Counter &silentConnections;
+    prometheus::Counter &unresponsiveConnections;
     prometheus::Gauge &configurationVersion;
 };
 
--- a/modules/filbert_gateway/gateway_parts.h
+++ b/modules/filbert_gateway/gateway_parts.h
@@ -15,7 +15,7 @@
 constexpr int refusedByTarget = 412; // its answer for what it did not and will not start
 
 /** A synchronous request that a target has. */
-struct open_call
+struct pending_call
 {
     bool isKnownNotRun = false; // the leader has learned so from the target's heartbeats
 };
@@ -34,11 +34,11 @@
     double retryTokens = 10;
     std::minstd_rand random {static_cast<std::uint32_t>(std::hash<std::string> {}(settings.name))};
     std::unordered_set<std::uint64_t> used; // placements, see isFirstUse()
-    std::deque<std::uint64_t> usedByAge;
-    std::unordered_map<std::uint64_t, open_call> atTargets; // by placement
+    std::deque<std::uint64_t> usedPlacementsByAge;
+    std::unordered_map<std::uint64_t, pending_call> pendingCalls; // by placement
     std::multimap<time_point, std::function<void()>> later;
     std::map<std::string, time_point> unreachableUntil; // targets, as seen from this host
-    bool isHelloOpen = false;
+    bool isHelloPending = false;
     bool isStopping = false;
 
     /** Whether a placement comes here for the first time. Were a start carried twice, a failure of
--- a/modules/filbert_gateway/job_routes.cpp
+++ b/modules/filbert_gateway/job_routes.cpp
@@ -40,7 +40,7 @@
     key_owner owner;
     std::uint64_t id = 0;
     if (const auto error = findReader(parts, request, &owner)) {
-        parts.answerProblem(request.id, kindOf(error), "");
+        parts.answerProblem(request.id, errorKindOf(error), "");
         return;
     }
     if (!readNumber(name, &id)) {
@@ -81,7 +81,7 @@
     if (isOpen) {
         owner = {key_role::Team, queue->team(), ""};
     } else if (const auto error = authenticate(parts, request, key_role::Team, &owner)) {
-        parts.answerProblem(request.id, kindOf(error), "");
+        parts.answerProblem(request.id, errorKindOf(error), "");
         return;
     }
     if (problem) {
@@ -109,7 +109,7 @@
 {
     key_owner owner;
     if (const auto error = findReader(parts, request, &owner)) {
-        parts.answerProblem(request.id, kindOf(error), "");
+        parts.answerProblem(request.id, errorKindOf(error), "");
         return;
     }
     messages::envelope envelope;
@@ -126,7 +126,7 @@
     key_owner owner;
     std::uint64_t id = 0;
     if (const auto error = findReader(parts, request, &owner)) {
-        parts.answerProblem(request.id, kindOf(error), "");
+        parts.answerProblem(request.id, errorKindOf(error), "");
         return;
     }
     if (!readNumber(name, &id)) {
--- a/modules/filbert_gateway/operator_routes.cpp
+++ b/modules/filbert_gateway/operator_routes.cpp
@@ -20,7 +20,7 @@
 {
     const auto error = authenticate(parts, request, key_role::Operator, owner);
     if (error) {
-        parts.answerProblem(request.id, kindOf(error), "");
+        parts.answerProblem(request.id, errorKindOf(error), "");
     }
     return !error;
 }
--- a/modules/filbert_gateway/service_calls.cpp
+++ b/modules/filbert_gateway/service_calls.cpp
@@ -46,10 +46,10 @@
                 const std::string &detail, milliseconds retryAfter = {})
 {
     // What the last try came to is not all that is to be said if an earlier one may have run.
-    const bool isLastOnly = call->mayHaveRun && errorRow(kind).outcome == work_outcome::NotRun;
+    const bool isLastOnly = call->mayHaveRun && errorInfo(kind).outcome == work_outcome::NotRun;
     const auto whole = isLastOnly ? error_kind::TargetLost : kind;
     const auto text = isLastOnly
-        ? "an earlier try may have run; the last one: " + std::string {errorRow(kind).name}
+        ? "an earlier try may have run; the last one: " + std::string {errorInfo(kind).name}
         : detail;
     parts.metrics.countRequest(call->service.name(), whole, parts.now - call->startedAt);
     parts.answerProblem(call->request.id, whole, text, retryAfter);
@@ -64,7 +64,7 @@
                         std::move(onAnswer));
 }
 
-void answerCaller(gateway::parts &parts, const call_ptr &call, http_answer &&answer)
+void answerCaller(gateway::parts &parts, const call_ptr &call, http_response &&answer)
 {
     parts.metrics.countRequest(call->service.name(), error_kind::None, parts.now - call->startedAt);
     std::erase_if(answer.headers, [](const auto &each) { return each.name != "retry-after"; });
@@ -74,7 +74,7 @@
 void takeStored(gateway::parts &parts, const call_ptr &call,
                 const messages::idempotency_record &stored)
 {
-    http_answer answer;
+    http_response answer;
     answer.status = stored.status();
     answer.contentType = stored.content_type();
     answer.body = stored.body();
@@ -118,16 +118,16 @@
 }
 
 /** Whether the answer names the placement that it was asked for. */
-bool belongsTo(const http_answer &answer, std::uint64_t placement)
+bool belongsTo(const http_response &answer, std::uint64_t placement)
 {
     return headerValue(answer.headers, "filbert-placement") == std::to_string(placement);
 }
 
 void takeTargetAnswer(gateway::parts &parts, const call_ptr &call,
                       const messages::dispatch_reply &grant, std::error_code error,
-                      http_answer &&answer)
+                      http_response &&answer)
 {
-    const auto open = parts.atTargets.extract(grant.placement_id());
+    const auto open = parts.pendingCalls.extract(grant.placement_id());
     const bool isKnownNotRun = error && !open.empty() && open.mapped().isKnownNotRun;
     const bool isCrossed = !error && !belongsTo(answer, grant.placement_id());
     const bool isNotRun = isKnownNotRun || error == error_kind::ConnectionFailed
@@ -136,8 +136,8 @@
         if (error) {
             parts.unreachableUntil[grant.target()] = parts.now + unreachableSpan;
         }
-        endNotRun(parts, grant.placement_id(), error ? "no connection" : "the target refused",
-                  error ? grant.target() : "");
+        reportNotRun(parts, grant.placement_id(), error ? "no connection" : "the target refused",
+                     error ? grant.target() : "");
         avoidTarget(*call, grant.target());
         if (mayTryAgain(parts, call, maxTriesNotRun)) {
             tryLater(parts, call);
@@ -173,14 +173,14 @@
     end.set_body(answer.body);
     // The answer is durable before the caller has it, so that a resend gets the same one.
     sendEnd(parts, std::move(end), recordPatience,
-            [&parts, call, kept = std::make_shared<http_answer>(std::move(answer))](
+            [&parts, call, kept = std::make_shared<http_response>(std::move(answer))](
                 std::error_code, const auto &) { answerCaller(parts, call, std::move(*kept)); });
 }
 
 void callTarget(gateway::parts &parts, const call_ptr &call, const messages::dispatch_reply &grant)
 {
     ++call->tries;
-    parts.atTargets[grant.placement_id()] = {};
+    parts.pendingCalls[grant.placement_id()] = {};
     target_call out;
     out.id = grant.placement_id();
     out.address = grant.address();
@@ -198,13 +198,13 @@
     // What must not run twice never meets a kept connection that the target is closing.
     out.needsNewConnection = !call->service.idempotent();
     parts.targets.call(std::move(out),
-                       [&parts, call, grant](std::error_code error, http_answer &&answer) {
+                       [&parts, call, grant](std::error_code error, http_response &&answer) {
                            takeTargetAnswer(parts, call, grant, error, std::move(answer));
                        });
 }
 
-void takeDispatch(gateway::parts &parts, const call_ptr &call, std::error_code error,
-                  const messages::envelope &answer)
+void handleDispatch(gateway::parts &parts, const call_ptr &call, std::error_code error,
+                    const messages::envelope &answer)
 {
     if (error) {
         // Nothing was sent to a target, and a grant that comes late is not used.
@@ -233,7 +233,7 @@
     }
     parts.isFirstUse(grant.placement_id());
     if (parts.now >= call->deadline) {
-        endNotRun(parts, grant.placement_id(), "the caller's deadline has passed");
+        reportNotRun(parts, grant.placement_id(), "the caller's deadline has passed");
         finishWith(parts, call, error_kind::NoCapacity, "no room before the deadline");
         return;
     }
@@ -260,10 +260,10 @@
     }
     const auto left = call->deadline - parts.now;
     dispatch->set_wait_ms(left.count - left.count / answerPartOfDeadline);
-    // Sent twice, it may be granted twice; the second grant is given back, see endStrayGrant().
+    // Sent twice, it may be granted twice; the second grant is given back, see returnUnusedGrant().
     parts.links.request(std::move(envelope), left, resend_rule::WhenUnanswered, parts.now,
                         [&parts, call](std::error_code error, const messages::envelope &answer) {
-                            takeDispatch(parts, call, error, answer);
+                            handleDispatch(parts, call, error, answer);
                         });
 }
 
@@ -281,8 +281,8 @@
 
 } // namespace
 
-void endNotRun(gateway::parts &parts, std::uint64_t placement, const std::string &reason,
-               const std::string &unreachableTarget)
+void reportNotRun(gateway::parts &parts, std::uint64_t placement, const std::string &reason,
+                  const std::string &unreachableTarget)
 {
     messages::placement_end end;
     end.set_unreachable_target(unreachableTarget);
@@ -292,24 +292,24 @@
     sendEnd(parts, std::move(end), endPatience, [](std::error_code, const auto &) {});
 }
 
-void endStrayGrant(gateway::parts &parts, const messages::dispatch_reply &grant)
+void returnUnusedGrant(gateway::parts &parts, const messages::dispatch_reply &grant)
 {
     if (grant.placement_id() != 0 && parts.isFirstUse(grant.placement_id())) {
-        endNotRun(parts, grant.placement_id(), "the grant came too late");
+        reportNotRun(parts, grant.placement_id(), "the grant came too late");
     }
 }
 
-void takeNotice(gateway::parts &parts, const messages::placement_notice &notice)
+void handlePlacementNotice(gateway::parts &parts, const messages::placement_notice &notice)
 {
-    const auto open = parts.atTargets.find(notice.placement_id());
-    if (open == parts.atTargets.end()) {
+    const auto open = parts.pendingCalls.find(notice.placement_id());
+    if (open == parts.pendingCalls.end()) {
         return;
     }
     log_line {"target_connection_silent", log_line::severity::Warning}
         .with("placement", notice.placement_id())
         .with("result", messages::task_result_Name(notice.result()));
     open->second.isKnownNotRun = notice.result() == messages::NOT_RUN;
-    parts.metrics.countSilentConnection();
+    parts.metrics.countUnresponsiveConnection();
     parts.targets.cancel(notice.placement_id());
 }
 
@@ -326,7 +326,7 @@
     }
     auto call = std::make_shared<service_call>();
     if (const auto error = findOwner(parts, request, *service, &call->owner)) {
-        parts.answerProblem(request.id, kindOf(error), "");
+        parts.answerProblem(request.id, errorKindOf(error), "");
         return;
     }
     if (request.deadline.count < 0 || request.idempotencyKey.size() > maxIdempotencyKeyBytes) {
@@ -342,7 +342,7 @@
     }
     call->service = *service;
     call->startedAt = parts.now;
-    call->deadline = parts.now + std::min(deadline, parts.settings.longestDeadline);
+    call->deadline = parts.now + std::min(deadline, parts.settings.maxDeadline);
     if (!request.idempotencyKey.empty()) {
         call->requestDigest = contentDigest(request.body);
     }
--- a/modules/filbert_gateway/service_calls.h
+++ b/modules/filbert_gateway/service_calls.h
@@ -14,13 +14,13 @@
     @param reason             in words, for the job's owner
     @param unreachableTarget  its target, if the request could not be brought there; else empty
 */
-void endNotRun(gateway::parts &parts, std::uint64_t placement, const std::string &reason,
-               const std::string &unreachableTarget = {});
+void reportNotRun(gateway::parts &parts, std::uint64_t placement, const std::string &reason,
+                  const std::string &unreachableTarget = {});
 
 /** Gives back a grant that came too late or twice; nothing was started under it. */
-void endStrayGrant(gateway::parts &parts, const messages::dispatch_reply &grant);
+void returnUnusedGrant(gateway::parts &parts, const messages::dispatch_reply &grant);
 
 /** The leader says that a target has no answer for a request, or gave it on a silent connection. */
-void takeNotice(gateway::parts &parts, const messages::placement_notice &notice);
+void handlePlacementNotice(gateway::parts &parts, const messages::placement_notice &notice);
 
 } // namespace filbert
--- a/modules/filbert_gateway/socket_transport.cpp
+++ b/modules/filbert_gateway/socket_transport.cpp
@@ -23,14 +23,14 @@
     return connections.send(address, envelope.SerializeAsString());
 }
 
-void socket_transport::renew(const std::string &address)
+void socket_transport::reconnect(const std::string &address)
 {
     connections.reconnect(address);
 }
 
-void socket_transport::prepare(const std::string &address)
+void socket_transport::connect(const std::string &address)
 {
-    connections.prepare(address);
+    connections.connect(address);
 }
 
 } // namespace filbert
--- a/modules/filbert_gateway/socket_transport.h
+++ b/modules/filbert_gateway/socket_transport.h
@@ -23,8 +23,8 @@
                      const curve_site &site, handler onMessage);
 
     bool send(const std::string &address, const messages::envelope &envelope) override;
-    void renew(const std::string &address) override;
-    void prepare(const std::string &address) override;
+    void reconnect(const std::string &address) override;
+    void connect(const std::string &address) override;
 
 private:
     dealer_pool connections;
--- a/modules/filbert_gateway/target_routes.cpp
+++ b/modules/filbert_gateway/target_routes.cpp
@@ -18,7 +18,7 @@
 {
     key_owner owner;
     if (const auto error = authenticate(parts, request, key_role::Target, &owner)) {
-        parts.answerProblem(request.id, kindOf(error), "");
+        parts.answerProblem(request.id, errorKindOf(error), "");
         return false;
     }
     std::string detail;
@@ -31,7 +31,7 @@
 
 } // namespace
 
-void announceTarget(gateway::parts &parts, http_request &&request, const std::string &name)
+void handleAnnouncement(gateway::parts &parts, http_request &&request, const std::string &name)
 {
     messages::envelope envelope;
     if (!readFromTarget(parts, request, envelope.mutable_announce())) {
@@ -45,7 +45,7 @@
                 });
 }
 
-void takeTargetHeartbeat(gateway::parts &parts, http_request &&request, const std::string &name)
+void handleTargetHeartbeat(gateway::parts &parts, http_request &&request, const std::string &name)
 {
     messages::envelope envelope;
     if (!readFromTarget(parts, request, envelope.mutable_heartbeat())) {
@@ -58,7 +58,7 @@
                 });
 }
 
-void sendStartOrder(gateway::parts &parts, const messages::start_order &order)
+void relayStartOrder(gateway::parts &parts, const messages::start_order &order)
 {
     if (!parts.isFirstUse(order.placement_id())) {
         return;
@@ -71,17 +71,17 @@
     call.timeout = orderPatience;
     parts.targets.call(
         std::move(call),
-        [&parts, id = order.placement_id()](std::error_code error, http_answer &&answer) {
+        [&parts, id = order.placement_id()](std::error_code error, http_response &&answer) {
             const bool isNotRun = error == error_kind::ConnectionFailed
                 || (!error && answer.status == refusedByTarget);
             if (!isNotRun) {
                 return; // started, or its heartbeats will tell
             }
-            endNotRun(parts, id, error ? "no connection" : "the target refused");
+            reportNotRun(parts, id, error ? "no connection" : "the target refused");
         });
 }
 
-void sendStopOrder(gateway::parts &parts, const messages::stop_order &order)
+void relayStopOrder(gateway::parts &parts, const messages::stop_order &order)
 {
     target_call call;
     call.address = order.address();
@@ -89,7 +89,7 @@
     call.headers = {{"content-type", "application/json"}};
     call.body = writeJson(order);
     call.timeout = orderPatience;
-    parts.targets.call(std::move(call), [](std::error_code, http_answer &&) {});
+    parts.targets.call(std::move(call), [](std::error_code, http_response &&) {});
 }
 
 } // namespace filbert
--- a/modules/filbert_gateway/tests/gateway_test.cpp
+++ b/modules/filbert_gateway/tests/gateway_test.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-messages::configuration smallConfiguration(const made_key &desk)
+messages::configuration smallConfiguration(const generated_key &desk)
 {
     messages::configuration whole;
     whole.set_cell("c");
     auto *team = whole.add_teams();
     team->set_name("orders");
     team->set_share(1);
-    *team->add_keys() = desk.stored;
+    *team->add_keys() = desk.storedKey;
     whole.add_queues()->set_name("quotes");
     for (const bool isIdempotent : {true, false}) {
         auto *service = whole.add_services();
@@ -28,10 +28,10 @@
 
 messages::configuration_grant grantOf(const messages::configuration &whole, std::int64_t version)
 {
-    const auto parts = partsOf(whole);
+    const auto parts = itemsOf(whole);
     messages::configuration_grant grant;
     grant.set_version(version);
-    grant.set_digest(digestOf(parts));
+    grant.set_digest(digestOfItems(parts));
     grant.set_lease_ms(3'000);
     for (const auto &[key, value] : parts) {
         auto *item = grant.add_items();
@@ -49,11 +49,11 @@
         : links {"g1", {"tcp://c1"}, *this}
         , running {gateway_settings {}, links, *this, *this, metrics}
     {
-        running.takeTime(now);
+        running.tick(now);
     }
 
-    void prepare(const std::string & /*address*/) override { }
-    void renew(const std::string & /*address*/) override { ++renewals; }
+    void connect(const std::string & /*address*/) override { }
+    void reconnect(const std::string & /*address*/) override { ++renewals; }
 
     bool send(const std::string & /*address*/, const messages::envelope &envelope) override
     {
@@ -61,7 +61,7 @@
         return true;
     }
 
-    void respond(std::uint64_t /*request*/, http_answer &&answer) override
+    void respond(std::uint64_t /*request*/, http_response &&answer) override
     {
         answers.push_back(std::move(answer));
     }
@@ -80,7 +80,7 @@
     {
         envelope.set_exchange(toController.front().exchange());
         toController.pop_front();
-        links.takeAnswer("tcp://c1", envelope, now);
+        links.handleAnswer("tcp://c1", envelope, now);
     }
 
     void grant(const messages::configuration_grant &granted)
@@ -105,18 +105,18 @@
         request.method = "POST";
         request.path = "/v1/services/" + service;
         request.authorization = "Bearer " + desk.token;
-        running.takeRequest(std::move(request), now);
+        running.handleRequest(std::move(request), now);
     }
 
     void pass(std::int64_t ms)
     {
         now = now + milliseconds {ms};
-        running.takeTime(now);
+        running.tick(now);
     }
 
     void targetAnswers(std::error_code error, int status = 200, std::uint64_t placement = 1)
     {
-        http_answer answer;
+        http_response answer;
         answer.status = status;
         answer.body = "done";
         answer.headers = {{"filbert-placement", std::to_string(placement)}};
@@ -133,14 +133,14 @@
         return problem.kind() + " " + problem.outcome();
     }
 
-    made_key desk = makeKey("desk");
+    generated_key desk = generateKey("desk");
     gateway_metrics metrics;
     std::deque<messages::envelope> toController;
     std::deque<target_call> calls;
     std::deque<handler> onAnswers;
     std::vector<std::uint64_t> cancelled;
     int renewals = 0;
-    std::vector<http_answer> answers;
+    std::vector<http_response> answers;
     controller_links links;
     time_point now {1'000};
     std::uint64_t lastRequest = 0;
@@ -171,27 +171,27 @@
 
 TEST_CASE("a configuration lease takes deltas on its own version, and versions never fall")
 {
-    const auto key = makeKey("desk");
+    const auto key = generateKey("desk");
     configuration_lease lease;
-    REQUIRE(takeGrant(lease, grantOf(smallConfiguration(key), 5), {0}));
-    CHECK_FALSE(takeGrant(lease, grantOf(smallConfiguration(key), 4), {10}));
+    REQUIRE(applyGrant(lease, grantOf(smallConfiguration(key), 5), {0}));
+    CHECK_FALSE(applyGrant(lease, grantOf(smallConfiguration(key), 4), {10}));
     auto next = smallConfiguration(key);
     next.mutable_teams(0)->set_share(4);
     auto delta = grantOf(next, 7);
     delta.clear_items();
-    for (const auto &item : differenceOf(partsOf(smallConfiguration(key)), partsOf(next))) {
+    for (const auto &item : changesBetween(itemsOf(smallConfiguration(key)), itemsOf(next))) {
         *delta.add_items() = item;
     }
     delta.set_from_version(6);
-    CHECK_FALSE(takeGrant(lease, delta, {20})); // it holds version 5
+    CHECK_FALSE(applyGrant(lease, delta, {20})); // it holds version 5
     delta.set_from_version(5);
-    CHECK(takeGrant(lease, delta, {20}));
+    CHECK(applyGrant(lease, delta, {20}));
     CHECK(lease.configuration.version() == 7);
     auto wrong = delta;
     wrong.set_from_version(7);
     wrong.set_version(8);
     wrong.set_digest("another");
-    CHECK_FALSE(takeGrant(lease, wrong, {30}));
+    CHECK_FALSE(applyGrant(lease, wrong, {30}));
     CHECK_FALSE(isInForce(lease, {31})); // it asks for the whole before it serves again
 }
 
@@ -241,14 +241,14 @@
     messages::envelope late;
     late.set_exchange(copy.exchange());
     late.mutable_dispatched()->set_placement_id(2);
-    CHECK_FALSE(cell.links.takeAnswer("tcp://c1", late, cell.now));
-    cell.running.takeOrder(late, cell.now);
+    CHECK_FALSE(cell.links.handleAnswer("tcp://c1", late, cell.now));
+    cell.running.handleOrder(late, cell.now);
     REQUIRE(cell.toController.size() == 1);
     CHECK(cell.toController[0].end().placement_id() == 2);
     CHECK(cell.toController[0].end().result() == messages::NOT_RUN);
-    cell.running.takeOrder(late, cell.now);
+    cell.running.handleOrder(late, cell.now);
     late.mutable_dispatched()->set_placement_id(1);
-    cell.running.takeOrder(late, cell.now);
+    cell.running.handleOrder(late, cell.now);
     CHECK(cell.toController.size() == 1);
     CHECK(cell.calls.size() == 1);
 }
@@ -262,7 +262,7 @@
         messages::envelope envelope;
         envelope.mutable_notice()->set_placement_id(placement);
         envelope.mutable_notice()->set_result(result);
-        cell.running.takeOrder(envelope, cell.now);
+        cell.running.handleOrder(envelope, cell.now);
     };
     notice(9, messages::NOT_RUN); // another gateway's
     CHECK(cell.cancelled.empty());
--- a/modules/filbert_node/leader_link.cpp
+++ b/modules/filbert_node/leader_link.cpp
@@ -5,40 +5,40 @@
 
 namespace filbert {
 
-leader_link::leader_link(const leader_link_settings &settings, leader_link_hooks hooks)
+leader_client::leader_client(const leader_client_settings &settings, leader_client_hooks hooks)
     : settings {settings}
     , hooks {std::move(hooks)}
-    , lastExchange {settings.idsAbove}
+    , lastExchange {settings.idBase}
 {
 }
 
-void leader_link::setSeeds(const std::vector<std::string> &addresses)
+void leader_client::setSeeds(const std::vector<std::string> &addresses)
 {
     seeds = addresses;
     helloAt = {};
 }
 
-std::set<std::string> leader_link::addresses() const
+std::set<std::string> leader_client::controllerAddresses() const
 {
     auto all = members;
     all.insert(seeds.begin(), seeds.end());
     return all;
 }
 
-void leader_link::stopServing()
+void leader_client::stopAcceptingWork()
 {
-    settings.asksAdmission = false;
-    settings.carriesOrders = false;
+    settings.canRequestAdmission = false;
+    settings.canRelayOrders = false;
     helloAt = {};
 }
 
-bool leader_link::hasLeader(time_point now) const
+bool leader_client::hasLeader(time_point now) const
 {
-    return !leader.empty() && now - leaderHeardAt < settings.silentSpan;
+    return !leader.empty() && now - leaderHeardAt < settings.silenceTimeout;
 }
 
-void leader_link::call(const messages::work_request &request, time_point now, time_point deadline,
-                       handler onEnd)
+void leader_client::call(const messages::work_request &request, time_point now, time_point deadline,
+                         handler onEnd)
 {
     const auto id = ++lastExchange;
     auto &call = calls[id];
@@ -46,39 +46,39 @@
     call.envelope.set_from(settings.name);
     *call.envelope.mutable_request() = request;
     call.deadline = deadline;
-    call.giveUpUnsentAt = now + settings.unsentSpan;
+    call.giveUpUnsentAt = now + settings.unsentTimeout;
     call.onEnd = std::move(onEnd);
     sendCall(call, now);
 }
 
-void leader_link::sendCall(open_call &call, time_point now)
+void leader_client::sendCall(pending_call &call, time_point now)
 {
-    call.sendAt = now + settings.retryPause;
+    call.sendAt = now + settings.retryDelay;
     if (leader.empty()) {
         return;
     }
     if (hooks.send(leader, call.envelope)) {
         call.wasSent = true;
         call.sentTo = leader;
-        call.sendAt = now + settings.resendAfter;
+        call.sendAt = now + settings.resendTimeout;
     }
 }
 
-void leader_link::takeEnvelope(const std::string &address, const messages::work_envelope &envelope,
-                               time_point now)
+void leader_client::handleEnvelope(const std::string &address,
+                                   const messages::work_envelope &envelope, time_point now)
 {
-    heardAt[address] = now;
+    lastContactAt[address] = now;
     using body = messages::work_envelope::BodyCase;
     if (envelope.body_case() == body::kWelcome) {
         takeWelcome(address, envelope.welcome(), now);
         return;
     }
     if (envelope.body_case() == body::kAdmission) {
-        hooks.admit(envelope.admission(), address);
+        hooks.requestAdmission(envelope.admission(), address);
         return;
     }
     if (envelope.body_case() == body::kCarried) {
-        hooks.carry(envelope.carried(), address);
+        hooks.relayOrders(envelope.carried(), address);
         return;
     }
     const auto found = calls.find(envelope.exchange());
@@ -86,12 +86,12 @@
         return;
     }
     if (envelope.answer().kind() == messages::ANSWER_NO_LEADER) {
-        found->second.sendAt = now + settings.retryPause;
+        found->second.sendAt = now + settings.retryDelay;
         if (leader == address) {
             leader.clear();
             denier = address;
             deniedAt = now;
-            helloAt = std::min(helloAt, now + settings.retryPause);
+            helloAt = std::min(helloAt, now + settings.retryDelay);
         }
         return;
     }
@@ -100,12 +100,12 @@
     call.onEnd({true, true, envelope.answer()});
 }
 
-void leader_link::takeWelcome(const std::string &address, const messages::peer_welcome &welcome,
-                              time_point now)
+void leader_client::takeWelcome(const std::string &address, const messages::peer_welcome &welcome,
+                                time_point now)
 {
     for (const auto &member : welcome.members()) {
         if (members.insert(member.address()).second) {
-            helloAt = std::min(helloAt, now + settings.retryPause); // it may become the leader
+            helloAt = std::min(helloAt, now + settings.retryDelay); // it may become the leader
         }
     }
     const bool isOwnWord = welcome.leader_address() == address;
@@ -138,20 +138,20 @@
     }
 }
 
-void leader_link::sayHello(time_point now)
+void leader_client::sayHello(time_point now)
 {
-    helloAt = now + (hasLeader(now) ? settings.helloPeriod : settings.searchPeriod);
+    helloAt = now + (hasLeader(now) ? settings.helloPeriod : settings.leaderSearchPeriod);
     messages::work_envelope envelope;
     envelope.set_from(settings.name);
     envelope.mutable_hello()->set_name(settings.name);
-    envelope.mutable_hello()->set_asks_admission(settings.asksAdmission);
-    envelope.mutable_hello()->set_carries_orders(settings.carriesOrders);
+    envelope.mutable_hello()->set_asks_admission(settings.canRequestAdmission);
+    envelope.mutable_hello()->set_carries_orders(settings.canRelayOrders);
     envelope.mutable_hello()->set_failure_domain(settings.failureDomain);
-    envelope.mutable_hello()->set_process(settings.idsAbove);
+    envelope.mutable_hello()->set_process(settings.idBase);
     envelope.mutable_hello()->set_link_mbps(settings.linkMbps);
-    for (const auto &address : addresses()) {
-        const auto quiet = std::max(heardAt[address], renewedAt[address]);
-        if (now - quiet > settings.silentSpan) {
+    for (const auto &address : controllerAddresses()) {
+        const auto quiet = std::max(lastContactAt[address], renewedAt[address]);
+        if (now - quiet > settings.silenceTimeout) {
             hooks.reconnect(address);
             renewedAt[address] = now;
         }
@@ -159,12 +159,12 @@
     }
 }
 
-void leader_link::takeTime(time_point now)
+void leader_client::tick(time_point now)
 {
     if (now >= helloAt) {
         sayHello(now);
     }
-    if (!leader.empty() && now - leaderHeardAt > settings.silentSpan) {
+    if (!leader.empty() && now - leaderHeardAt > settings.silenceTimeout) {
         log_line {"leader_silent", log_line::severity::Warning}
             .with("leader", leader)
             .with("heard_ms_ago", (now - leaderHeardAt).count);
--- a/modules/filbert_node/leader_link.h
+++ b/modules/filbert_node/leader_link.h
@@ -13,34 +13,34 @@
 namespace filbert {
 
 /** Identity, abilities and timing of a leader_client. */
-struct leader_link_settings
+struct leader_client_settings
 {
     std::string name; // of this process, unique in the cell
     // Request ids start above this value. It must exceed every id that an earlier process of the
     // same name has used, so that late answers to that process match no request of this one.
     // Controllers also use it to tell two processes of the same name apart.
-    std::uint64_t idsAbove = 0;
-    bool asksAdmission = false; // whether this process can call the policy service
-    bool carriesOrders = false; // whether this process can pass a leader's orders on to targets
+    std::uint64_t idBase = 0;
+    bool canRequestAdmission = false; // whether this process can call the policy service
+    bool canRelayOrders = false; // whether this process can pass a leader's orders on to targets
     std::string failureDomain; // of this process's host
     std::uint32_t linkMbps = 0; // bandwidth of this process's host; 0 = unknown
     // Three hellos fit into the time after which controllers consider a silent process lost.
     milliseconds helloPeriod {300};
     // Between hellos while no leader is known. It is shorter, since requests wait meanwhile.
-    milliseconds searchPeriod {100};
+    milliseconds leaderSearchPeriod {100};
     // Until a request without an answer is sent again, which is safe for every request. It is
     // several times as long as the longest commit.
-    milliseconds resendAfter {600};
-    milliseconds retryPause {60}; // after an answer that the controller does not lead
+    milliseconds resendTimeout {600};
+    milliseconds retryDelay {60}; // after an answer that the controller does not lead
     // For requests that cannot be sent because there is no leader; it covers an election.
-    milliseconds unsentSpan {1'500};
+    milliseconds unsentTimeout {1'500};
     // Without any message, after which a connection is re-established and a leader is considered
     // lost: three hellos without an answer.
-    milliseconds silentSpan {1'000};
+    milliseconds silenceTimeout {1'000};
 };
 
 /** The outcome of a request. */
-struct link_result
+struct call_result
 {
     bool isAnswered = false;
     bool wasSent = false; // without an answer, the request may still have taken effect
@@ -48,16 +48,17 @@
 };
 
 /** The functions that a leader_client calls in its program. */
-struct leader_link_hooks
+struct leader_client_hooks
 {
     /** @return whether the message was handed to a connection */
     std::function<bool(const std::string &address, const messages::work_envelope &)> send;
     /** Replaces the connection to an address by a new one. */
     std::function<void(const std::string &address)> reconnect;
     /** Calls the policy service for the leader at an address, which gets the answer. */
-    std::function<void(const messages::admission_request &, const std::string &address)> admit;
+    std::function<void(const messages::admission_request &, const std::string &address)>
+        requestAdmission;
     /** Sends a leader's orders to their targets; the answers go to the leader's address. */
-    std::function<void(const messages::carried_orders &, const std::string &address)> carry;
+    std::function<void(const messages::carried_orders &, const std::string &address)> relayOrders;
 };
 
 /** Sends requests to whichever controller leads, and announces this process to all controllers.
@@ -66,12 +67,12 @@
     Each call completes exactly once: with an answer, or without one at its deadline or when no
     leader was found in time.
 */
-class leader_link
+class leader_client
 {
 public:
-    using handler = std::function<void(link_result &&)>;
+    using handler = std::function<void(call_result &&)>;
 
-    leader_link(const leader_link_settings &settings, leader_link_hooks hooks);
+    leader_client(const leader_client_settings &settings, leader_client_hooks hooks);
 
     /** Sets the controllers to contact first; further ones are learned from their welcomes.
         @param addresses  of controllers, as configured
@@ -88,28 +89,28 @@
     /** Announces that this process accepts no more work from the leader, before it stops. Requests
         can still be sent.
     */
-    void stopServing();
+    void stopAcceptingWork();
 
     /** Handles a message of a controller: an answer, a welcome, an admission request or orders to
         relay.
         @param address  of the controller that sent it
     */
-    void takeEnvelope(const std::string &address, const messages::work_envelope &envelope,
-                      time_point now);
+    void handleEnvelope(const std::string &address, const messages::work_envelope &envelope,
+                        time_point now);
 
     /** Sends what is due and completes expired calls; call it every 10 to 20 ms. */
-    void takeTime(time_point now);
+    void tick(time_point now);
 
     /** @return whether a leader is known and has been in contact recently */
     bool hasLeader(time_point now) const;
 
     /** @return the addresses of all known controllers */
-    std::set<std::string> addresses() const;
+    std::set<std::string> controllerAddresses() const;
 
-    std::size_t openCalls() const { return calls.size(); }
+    std::size_t pendingCalls() const { return calls.size(); }
 
 private:
-    struct open_call
+    struct pending_call
     {
         messages::work_envelope envelope;
         time_point deadline;
@@ -120,22 +121,22 @@
         handler onEnd;
     };
 
-    void sendCall(open_call &call, time_point now);
+    void sendCall(pending_call &call, time_point now);
     void takeWelcome(const std::string &address, const messages::peer_welcome &welcome,
                      time_point now);
     void sayHello(time_point now);
 
-    leader_link_settings settings;
-    leader_link_hooks hooks;
+    leader_client_settings settings;
+    leader_client_hooks hooks;
     std::vector<std::string> seeds;
     std::set<std::string> members;
-    std::map<std::string, time_point> heardAt;
+    std::map<std::string, time_point> lastContactAt;
     std::map<std::string, time_point> renewedAt;
     std::string leader; // address of the leader; empty = unknown
     time_point leaderHeardAt;
     std::string denier; // address of the last controller that denied leading
     time_point deniedAt;
-    std::map<std::uint64_t, open_call> calls;
+    std::map<std::uint64_t, pending_call> calls;
     std::uint64_t lastExchange = 0;
     time_point helloAt;
 };
--- a/modules/filbert_node/order_relay.cpp
+++ b/modules/filbert_node/order_relay.cpp
@@ -22,23 +22,22 @@
 
 task_name taskFrom(const std::string &text)
 {
-    return taskNameFrom(text).value_or(task_name {});
+    return parseTaskName(text).value_or(task_name {});
 }
 
 } // namespace
 
-order_relay::order_relay(const order_relay_settings &settings, hooks given)
+order_router::order_router(const order_router_settings &settings, hooks given)
     : settings {settings}
     , given {std::move(given)}
-    , lastId {settings.idsAbove}
+    , lastId {settings.idBase}
 {
 }
 
-void order_relay::takeCarrier(const std::string &name, const order_carrier_view &about,
-                              time_point now)
+void order_router::registerRelay(const std::string &name, const relay_info &about, time_point now)
 {
     const auto known = carriers.find(name);
-    const bool isNew = known == carriers.end() || known->second.heardAt.ms == 0;
+    const bool isNew = known == carriers.end() || known->second.lastContactAt.ms == 0;
     const bool isReplaced = known != carriers.end() && known->second.about.process != about.process;
     if (isReplaced) {
         loseCarrier(name, "its process was replaced by a new one", now);
@@ -49,15 +48,15 @@
     carriers[name] = {about, now};
 }
 
-void order_relay::dropCarrier(const std::string &name)
+void order_router::unregisterRelay(const std::string &name)
 {
     if (carriers.erase(name) > 0) {
         chosen.clear();
     }
 }
 
-const std::string &order_relay::carrierFor(const std::string &target,
-                                           const std::string &failureDomain, time_point now)
+const std::string &order_router::carrierFor(const std::string &target,
+                                            const std::string &failureDomain, time_point now)
 {
     const auto found = chosen.find(target);
     if (found != chosen.end()) {
@@ -66,11 +65,11 @@
     return chosen[target] = chooseCarrier(target, failureDomain, now);
 }
 
-std::string order_relay::chooseCarrier(const std::string &target, const std::string &failureDomain,
-                                       time_point now) const
+std::string order_router::chooseCarrier(const std::string &target, const std::string &failureDomain,
+                                        time_point now) const
 {
     const auto isHeard = [&](const carrier_state &carrier) {
-        return now - carrier.heardAt < settings.carrierSpan;
+        return now - carrier.lastContactAt < settings.relayTimeout;
     };
     std::uint64_t widest = 0;
     for (const auto &[name, carrier] : carriers) {
@@ -95,10 +94,10 @@
     return best;
 }
 
-void order_relay::send(const target_order &order, std::size_t targets,
-                       const std::string &failureDomain, time_point now)
+void order_router::send(const target_order &order, std::size_t targets,
+                        const std::string &failureDomain, time_point now)
 {
-    if (targets <= settings.ownTargets) {
+    if (targets <= settings.maxDirectTargets) {
         given.callTarget(order);
         return;
     }
@@ -112,16 +111,16 @@
     }
 }
 
-void order_relay::pass(const target_order &order, const std::string &carrier, time_point now)
+void order_router::pass(const target_order &order, const std::string &carrier, time_point now)
 {
     const auto id = ++lastId;
-    open[id] = {order, carrier, now + order.timeout + settings.answerGrace};
+    open[id] = {order, carrier, now + order.timeout + settings.answerGracePeriod};
     auto *added = gathered[carrier].mutable_carried()->add_orders();
-    *added = carriedOrderOf(order);
+    *added = orderMessageOf(order);
     added->set_id(id);
 }
 
-void order_relay::passHeld(time_point now)
+void order_router::passHeld(time_point now)
 {
     const bool isCarrierKnown = !chooseCarrier({}, {}, now).empty();
     if (held.empty() || (!isCarrierKnown && now < carriersAwaitedUntil)) {
@@ -137,7 +136,7 @@
     }
 }
 
-void order_relay::flush(time_point now)
+void order_router::flush(time_point now)
 {
     passHeld(now);
     for (const auto &[carrier, envelope] : std::exchange(gathered, {})) {
@@ -145,7 +144,8 @@
     }
 }
 
-void order_relay::takeAnswers(const std::string &carrier, const messages::carried_answers &answers)
+void order_router::handleAnswers(const std::string &carrier,
+                                 const messages::carried_answers &answers)
 {
     for (const auto &message : answers.answers()) {
         const auto found = open.find(message.id());
@@ -154,11 +154,11 @@
         }
         const auto order = std::move(found->second.order);
         open.erase(found);
-        given.onAnswer(order, answerOf(message));
+        given.onAnswer(order, answerFrom(message));
     }
 }
 
-void order_relay::takeTime(time_point now)
+void order_router::tick(time_point now)
 {
     std::map<std::string, std::string> lost; // reason by relay
     for (const auto &[id, each] : open) {
@@ -167,7 +167,7 @@
         }
     }
     for (const auto &[name, carrier] : carriers) {
-        if (carrier.heardAt.ms != 0 && now - carrier.heardAt >= settings.carrierSpan) {
+        if (carrier.lastContactAt.ms != 0 && now - carrier.lastContactAt >= settings.relayTimeout) {
             lost.emplace(name, "no hello within the timeout");
         }
     }
@@ -176,7 +176,7 @@
     }
 }
 
-void order_relay::loseCarrier(const std::string &name, const std::string &reason, time_point now)
+void order_router::loseCarrier(const std::string &name, const std::string &reason, time_point now)
 {
     std::vector<target_order> orders;
     for (auto entry = open.begin(); entry != open.end();) {
@@ -193,90 +193,90 @@
         .with("carrier", name)
         .with("reason", reason)
         .with("orders", orders.size())
-        .with("heard_ms_ago", carrier == nullptr ? -1 : (now - carrier->heardAt).count);
+        .with("heard_ms_ago", carrier == nullptr ? -1 : (now - carrier->lastContactAt).count);
     if (carrier != nullptr) {
-        carrier->heardAt = {};
+        carrier->lastContactAt = {};
     }
     chosen.clear();
     order_answer none;
-    none.result = order_result::CarrierLost;
+    none.result = order_result::RelayLost;
     for (const auto &order : orders) {
         given.onAnswer(order, none);
     }
 }
 
-void order_relay::startTerm(time_point now)
+void order_router::startTerm(time_point now)
 {
     open.clear();
     gathered.clear();
     held.clear();
-    carriersAwaitedUntil = now + settings.carrierWait;
+    carriersAwaitedUntil = now + settings.relayDiscoveryTimeout;
 }
 
-messages::carried_order carriedOrderOf(const target_order &order)
+messages::carried_order orderMessageOf(const target_order &order)
 {
     messages::carried_order message;
     message.set_kind(static_cast<int>(order.kind));
     message.set_target(order.target);
-    message.set_born(order.born);
+    message.set_born(order.incarnation);
     message.set_address(order.address);
-    message.set_task(order.task.job.empty() ? std::string {} : textOf(order.task));
+    message.set_task(order.task.job.empty() ? std::string {} : toString(order.task));
     message.set_run(order.run);
     message.set_spec(order.spec);
     message.set_checkpoint(order.checkpoint);
     message.set_ticket(order.ticket);
-    message.set_lease_until(order.leaseUntil);
+    message.set_lease_until(order.leaseExpiresAt);
     message.set_fencing_token(order.fencingToken);
-    message.set_last_seen(order.lastEndTaken);
-    message.set_wait_ms(order.wait.count);
-    message.set_pace(order.pace);
+    message.set_last_seen(order.lastAppliedEnd);
+    message.set_wait_ms(order.pollWait.count);
+    message.set_pace(order.workRate);
     message.set_timeout_ms(order.timeout.count);
     return message;
 }
 
-target_order orderOf(const messages::carried_order &message)
+target_order orderFrom(const messages::carried_order &message)
 {
     target_order order;
     order.kind = static_cast<order_kind>(message.kind());
     order.target = message.target();
-    order.born = message.born();
+    order.incarnation = message.born();
     order.address = message.address();
     order.task = taskFrom(message.task());
     order.run = message.run();
     order.spec = message.spec();
     order.checkpoint = message.checkpoint();
     order.ticket = message.ticket();
-    order.leaseUntil = message.lease_until();
+    order.leaseExpiresAt = message.lease_until();
     order.fencingToken = message.fencing_token();
-    order.lastEndTaken = message.last_seen();
-    order.wait = {message.wait_ms()};
-    order.pace = message.pace();
+    order.lastAppliedEnd = message.last_seen();
+    order.pollWait = {message.wait_ms()};
+    order.workRate = message.pace();
     order.timeout = {message.timeout_ms()};
     return order;
 }
 
-messages::carried_answer carriedAnswerOf(const order_answer &answer)
+messages::carried_answer answerMessageOf(const order_answer &answer)
 {
     messages::carried_answer message;
     message.set_result(static_cast<int>(answer.result));
     if (answer.clockMs) {
         message.set_clock_ms(*answer.clockMs);
     }
-    if (answer.born) {
-        message.set_born(*answer.born);
+    if (answer.incarnation) {
+        message.set_born(*answer.incarnation);
     }
     for (const auto &run : answer.runs) {
         auto *out = message.add_runs();
-        out->set_task(textOf(run.task));
+        out->set_task(toString(run.task));
         out->set_run(run.run);
         out->set_checkpoint(run.checkpoint);
-        out->set_percent(run.percent);
+        out->set_percent(run.percentDone);
         out->set_gauge(run.gauge);
     }
     for (const auto &end : answer.ends) {
         auto *out = message.add_ends();
         out->set_number(end.number);
-        out->set_task(textOf(end.task));
+        out->set_task(toString(end.task));
         out->set_run(end.run);
         out->set_kind(end.kind);
         out->set_checkpoint(end.checkpoint);
@@ -284,7 +284,7 @@
     return message;
 }
 
-order_answer answerOf(const messages::carried_answer &message)
+order_answer answerFrom(const messages::carried_answer &message)
 {
     order_answer answer;
     answer.result = static_cast<order_result>(message.result());
@@ -292,7 +292,7 @@
         answer.clockMs = message.clock_ms();
     }
     if (message.has_born()) {
-        answer.born = message.born();
+        answer.incarnation = message.born();
     }
     for (const auto &run : message.runs()) {
         answer.runs.push_back(
--- a/modules/filbert_node/order_relay.h
+++ b/modules/filbert_node/order_relay.h
@@ -11,25 +11,26 @@
 namespace filbert {
 
 /** Limits and timing of an order_router. */
-struct order_relay_settings
+struct order_router_settings
 {
     // Order ids start above this value. It must exceed every id that an earlier process of the same
     // name has used, so that late answers to that process match no order of this one.
-    std::uint64_t idsAbove = 0;
+    std::uint64_t idBase = 0;
     // With more targets than this, orders go through relays. Polling one target costs the leader
     // about 1 ms of processor time a second; with more of them, its host would have little left for
     // scheduling.
-    std::size_t ownTargets = 100;
-    milliseconds carrierSpan {1'000}; // without a hello, after which a relay is lost: three hellos
+    std::size_t maxDirectTargets = 100;
+    milliseconds relayTimeout {1'000}; // without a hello, after which a relay is lost: three hellos
     // Time for which the orders of a new term wait for the first relay. When a whole cell restarts,
     // entry hosts find the new leader within their hello period; calling that many targets itself
     // would take the leader as long.
-    milliseconds carrierWait {400};
-    milliseconds answerGrace {350}; // on top of the order's timeout: two hops and a loop turn each
+    milliseconds relayDiscoveryTimeout {400};
+    milliseconds answerGracePeriod {
+        350}; // on top of the order's timeout: two hops and a loop turn each
 };
 
 /** What a relay reports of itself in its hellos. */
-struct order_carrier_view
+struct relay_info
 {
     std::string failureDomain;
     std::uint64_t process = 0; // differs between successive processes of one name
@@ -42,11 +43,11 @@
     Each target has one relay, so that connections to it are reused. The relay is in the target's
     failure domain if possible, and is never one whose link is much narrower than another relay's.
 
-    Each order ends exactly once: with the answer that its relay returns, or as CarrierLost if that
+    Each order ends exactly once: with the answer that its relay returns, or as RelayLost if that
     does not come in time. Leases, run numbers and fencing tokens protect targets from late orders,
     relayed or not.
 */
-class order_relay
+class order_router
 {
 public:
     /** The functions that the router calls in its owner. */
@@ -60,18 +61,18 @@
         std::function<void(const target_order &, const order_answer &)> onAnswer;
     };
 
-    order_relay(const order_relay_settings &settings, hooks given);
+    order_router(const order_router_settings &settings, hooks given);
 
     /** Handles the hello of a process that relays orders.
         @param about  what it reports of itself; if the process replaces an earlier one of the same
-                      name, the pending orders of the earlier one end as CarrierLost at once
+                      name, the pending orders of the earlier one end as RelayLost at once
     */
-    void takeCarrier(const std::string &name, const order_carrier_view &about, time_point now);
+    void registerRelay(const std::string &name, const relay_info &about, time_point now);
 
     /** Handles the hello of a process that relays no orders, or no more since it stops. It still
         answers the orders that it has.
     */
-    void dropCarrier(const std::string &name);
+    void unregisterRelay(const std::string &name);
 
     /** Calls the target directly, or queues the order for the next flush().
         @param targets        number of targets in the cell
@@ -86,10 +87,10 @@
     void flush(time_point now);
 
     /** Handles the answers that a relay returns; those that match no pending order are ignored. */
-    void takeAnswers(const std::string &carrier, const messages::carried_answers &answers);
+    void handleAnswers(const std::string &carrier, const messages::carried_answers &answers);
 
     /** Ends all orders of each relay that is silent, or has not answered one order in time. */
-    void takeTime(time_point now);
+    void tick(time_point now);
 
     /** Discards all orders, since their term has ended. Orders of the new term wait for a short
         time if no relay is known yet.
@@ -99,8 +100,8 @@
 private:
     struct carrier_state
     {
-        order_carrier_view about;
-        time_point heardAt; // its last hello; 0 = lost, not used before its next hello
+        relay_info about;
+        time_point lastContactAt; // its last hello; 0 = lost, not used before its next hello
     };
 
     struct open_order
@@ -124,7 +125,7 @@
     void passHeld(time_point now);
     void loseCarrier(const std::string &name, const std::string &reason, time_point now);
 
-    order_relay_settings settings;
+    order_router_settings settings;
     hooks given;
     std::map<std::string, carrier_state> carriers;
     // Relay by target; cleared when the set of relays changes.
@@ -137,15 +138,15 @@
 };
 
 /** @return an order as a message to a relay, without an id */
-messages::carried_order carriedOrderOf(const target_order &order);
+messages::carried_order orderMessageOf(const target_order &order);
 
 /** @return the order in a message to a relay */
-target_order orderOf(const messages::carried_order &message);
+target_order orderFrom(const messages::carried_order &message);
 
 /** @return a target's answer as a message from a relay, without an id */
-messages::carried_answer carriedAnswerOf(const order_answer &answer);
+messages::carried_answer answerMessageOf(const order_answer &answer);
 
 /** @return the target's answer in a message from a relay */
-order_answer answerOf(const messages::carried_answer &message);
+order_answer answerFrom(const messages::carried_answer &message);
 
 } // namespace filbert
