--- a/modules/filbert_node/tests/leader_link_test.cpp
+++ b/modules/filbert_node/tests/leader_link_test.cpp
@@ -11,7 +11,7 @@
     time_point now {10'000};
     std::vector<std::pair<std::string, messages::work_envelope>> sent;
     std::vector<std::string> renewed;
-    leader_link link;
+    leader_client link;
 
     link_fixture()
         : link {settings(),
@@ -26,9 +26,9 @@
         link.setSeeds({"tcp://c1", "tcp://c2"});
     }
 
-    static leader_link_settings settings()
+    static leader_client_settings settings()
     {
-        leader_link_settings settings;
+        leader_client_settings settings;
         settings.name = "gateway-1";
         return settings;
     }
@@ -38,13 +38,13 @@
         messages::work_envelope envelope;
         envelope.mutable_welcome()->set_leader(leader);
         envelope.mutable_welcome()->set_leader_address(leader);
-        link.takeEnvelope(from, envelope, now);
+        link.handleEnvelope(from, envelope, now);
     }
 
     void pass(milliseconds span)
     {
         for (const auto end = now + span; now < end; now = now + milliseconds {20}) {
-            link.takeTime(now);
+            link.tick(now);
         }
     }
 
@@ -65,9 +65,9 @@
 TEST_CASE("a request completes unsent well before its deadline if no leader is found", "[link]")
 {
     link_fixture cell;
-    std::optional<link_result> result;
+    std::optional<call_result> result;
     cell.link.call({}, cell.now, cell.now + milliseconds {10'000},
-                   [&](link_result &&what) { result = what; });
+                   [&](call_result &&what) { result = what; });
     cell.pass({1'400});
     CHECK_FALSE(result);
     cell.pass({300});
@@ -80,32 +80,32 @@
 {
     link_fixture cell;
     cell.welcome("tcp://c1", "tcp://c1");
-    std::optional<link_result> result;
+    std::optional<call_result> result;
     cell.link.call({}, cell.now, cell.now + milliseconds {3'000},
-                   [&](link_result &&what) { result = what; });
+                   [&](call_result &&what) { result = what; });
     REQUIRE(cell.requestsTo() == std::vector<std::string> {"tcp://c1"});
     messages::work_envelope no;
     no.set_exchange(1);
     no.mutable_answer()->set_kind(messages::ANSWER_NO_LEADER);
-    cell.link.takeEnvelope("tcp://c1", no, cell.now);
+    cell.link.handleEnvelope("tcp://c1", no, cell.now);
     cell.welcome("tcp://c2", "tcp://c2");
     CHECK(cell.requestsTo() == std::vector<std::string> {"tcp://c1", "tcp://c2"});
     messages::work_envelope yes;
     yes.set_exchange(1);
     yes.mutable_answer()->set_kind(messages::ANSWER_OK);
-    cell.link.takeEnvelope("tcp://c2", yes, cell.now);
+    cell.link.handleEnvelope("tcp://c2", yes, cell.now);
     REQUIRE(result);
     CHECK(result->isAnswered);
-    CHECK(cell.link.openCalls() == 0);
+    CHECK(cell.link.pendingCalls() == 0);
 }
 
 TEST_CASE("an unanswered request is resent, and completes as sent at its deadline", "[link]")
 {
     link_fixture cell;
     cell.welcome("tcp://c1", "tcp://c1");
-    std::optional<link_result> result;
+    std::optional<call_result> result;
     cell.link.call({}, cell.now, cell.now + milliseconds {900},
-                   [&](link_result &&what) { result = what; });
+                   [&](call_result &&what) { result = what; });
     cell.pass({1'000});
     CHECK(cell.requestsTo().size() == 2);
     REQUIRE(result);
@@ -119,7 +119,7 @@
     cell.welcome("tcp://c1", "tcp://c1");
     cell.welcome("tcp://c2", "tcp://c9");
     CHECK(cell.link.hasLeader(cell.now));
-    cell.link.call({}, cell.now, cell.now + milliseconds {900}, [](link_result &&) {});
+    cell.link.call({}, cell.now, cell.now + milliseconds {900}, [](call_result &&) {});
     CHECK(cell.requestsTo() == std::vector<std::string> {"tcp://c1"});
 }
 
@@ -139,7 +139,7 @@
     cell.sent.clear();
     messages::work_envelope envelope;
     envelope.mutable_welcome()->add_members()->set_address("tcp://c3");
-    cell.link.takeEnvelope("tcp://c2", envelope, cell.now);
+    cell.link.handleEnvelope("tcp://c2", envelope, cell.now);
     cell.pass({100});
     CHECK(std::any_of(cell.sent.begin(), cell.sent.end(),
                       [](const auto &each) { return each.first == "tcp://c3"; }));
@@ -164,7 +164,7 @@
     link_fixture cell;
     cell.pass({40});
     cell.sent.clear();
-    cell.link.stopServing();
+    cell.link.stopAcceptingWork();
     cell.pass({20});
     REQUIRE(!cell.sent.empty());
     CHECK_FALSE(cell.sent.back().second.hello().carries_orders());
@@ -176,7 +176,7 @@
 {
     link_fixture cell;
     cell.welcome("tcp://c2", "tcp://c1");
-    cell.link.call({}, cell.now, cell.now + milliseconds {10'000}, [](link_result &&) {});
+    cell.link.call({}, cell.now, cell.now + milliseconds {10'000}, [](call_result &&) {});
     messages::work_envelope denial;
     denial.mutable_answer()->set_kind(messages::ANSWER_NO_LEADER);
     std::size_t answered = 0;
@@ -184,12 +184,12 @@
     // retries, denials and welcomes would make the client resend requests and hellos each time.
     for (const auto end = cell.now + milliseconds {600}; cell.now < end;
          cell.now = cell.now + milliseconds {1}) {
-        cell.link.takeTime(cell.now);
+        cell.link.tick(cell.now);
         for (; answered < cell.sent.size(); ++answered) {
             const auto [address, envelope] = cell.sent[answered];
             if (envelope.has_request()) {
                 denial.set_exchange(envelope.exchange());
-                cell.link.takeEnvelope(address, denial, cell.now);
+                cell.link.handleEnvelope(address, denial, cell.now);
             } else if (address == "tcp://c2") {
                 cell.welcome("tcp://c2", "tcp://c1");
             }
--- a/modules/filbert_node/tests/work_controller_test.cpp
+++ b/modules/filbert_node/tests/work_controller_test.cpp
@@ -34,7 +34,7 @@
         self.set_identity("a");
         self.set_address("tcp://host-a");
         stored.term = 1;
-        stored.entries = {makeFirstEntry(self)};
+        stored.entries = {makeBootstrapEntry(self)};
         REQUIRE(!store.append(1, "", stored.entries));
         work_controller_settings settings;
         settings.name = "controller-a";
@@ -54,14 +54,14 @@
             answers[envelope.exchange()] = envelope.answer();
         };
         hooks.callTarget = [this](const target_order &order) { orders.push_back(order); };
-        hooks.knownAddresses = [] { return std::vector<std::string> {}; };
+        hooks.controllerAddresses = [] { return std::vector<std::string> {}; };
         replication_settings replication;
         controller = std::make_unique<work_controller>(settings, replication, stored, 3, store,
                                                        metrics, hooks, now - milliseconds {3'000});
         if (hearsBeforeLeading) {
             messages::work_envelope envelope;
             envelope.mutable_hello()->set_asks_admission(true);
-            controller->takeEnvelope("gateway-1", envelope, now, 1'000);
+            controller->handleEnvelope("gateway-1", envelope, now, 1'000);
         }
         turn();
         turn();
@@ -69,7 +69,7 @@
 
     void turn()
     {
-        controller->takeTime(now);
+        controller->tick(now);
         REQUIRE(!controller->flush(now, 1'000));
     }
 
@@ -78,7 +78,7 @@
         messages::work_envelope envelope;
         envelope.set_exchange(++lastExchange);
         *envelope.mutable_request() = request;
-        controller->takeEnvelope("gateway-1", envelope, now, 1'000);
+        controller->handleEnvelope("gateway-1", envelope, now, 1'000);
         turn();
         return answers[lastExchange];
     }
--- a/modules/filbert_node/work_controller.cpp
+++ b/modules/filbert_node/work_controller.cpp
@@ -44,34 +44,35 @@
            store,
            {[this](const messages::member &to, const messages::replication_message &message) {
                 messages::work_envelope envelope;
-                envelope.set_from(log.view().self);
+                envelope.set_from(log.state().self);
                 *envelope.mutable_replication() = message;
                 hooks.sendToMember(to, envelope);
             },
             [this](const messages::log_entry &entry) { applyEntry(entry); },
             [this](const std::string &data) {
-                FILBERT_INVARIANT(!readWork(data, &state), "a snapshot can be parsed");
+                FILBERT_INVARIANT(!readWorkState(data, &state), "a snapshot can be parsed");
             },
-            [this] { return writeWork(state); }},
+            [this] { return writeWorkState(state); }},
            now}
-    , relay {settings.relay,
+    , relay {settings.router,
              {[this](const std::string &carrier, const messages::work_envelope &envelope) {
                   hooks.sendToPeer(carrier, envelope);
               },
               [this](const target_order &order) { hooks.callTarget(order); },
               [this](const target_order &order, const order_answer &answer) {
-                  takeOrderAnswer(order, answer, monotonicNow());
+                  handleOrderAnswer(order, answer, monotonicNow());
               }}}
 {
 }
 
-void work_controller::takeEnvelope(const std::string &peer, const messages::work_envelope &envelope,
-                                   time_point now, std::int64_t wallMs)
+void work_controller::handleEnvelope(const std::string &peer,
+                                     const messages::work_envelope &envelope, time_point now,
+                                     std::int64_t wallMs)
 {
     using body = messages::work_envelope::BodyCase;
     switch (envelope.body_case()) {
     case body::kReplication:
-        log.takeMessage(envelope.replication(), now);
+        log.handleMessage(envelope.replication(), now);
         break;
     case body::kHello:
         welcome(peer, envelope.hello(), now);
@@ -80,15 +81,15 @@
         candidates[envelope.join().self().identity()] = {envelope.join().self(), now};
         break;
     case body::kRequest:
-        takeRequest({peer, envelope.exchange()}, envelope.request(), now, wallMs);
+        handleRequest({peer, envelope.exchange()}, envelope.request(), now, wallMs);
         break;
     case body::kAdmissionAnswer:
         if (dispatch) {
-            takeAdmission(*dispatch, envelope.admission_answer(), now);
+            handleAdmissionAnswer(*dispatch, envelope.admission_answer(), now);
         }
         break;
     case body::kCarriedAnswers:
-        relay.takeAnswers(peer, envelope.carried_answers());
+        relay.handleAnswers(peer, envelope.carried_answers());
         break;
     default:
         log_line {"message_unexpected", log_line::severity::Warning}.with("peer", peer);
@@ -105,16 +106,17 @@
         policyCallers.erase(peer);
     }
     if (dispatch && hello.asks_admission()) {
-        takeCaller(*dispatch, peer, hello.process(), now);
+        registerCaller(*dispatch, peer, hello.process(), now);
     } else if (dispatch) {
-        dropCaller(*dispatch, peer);
+        unregisterCaller(*dispatch, peer);
     }
     // A leader does not relay its own orders: its processor time is needed for scheduling.
     const bool isOwn = hello.name() == settings.name;
     if (hello.carries_orders() && !isOwn) {
-        relay.takeCarrier(peer, {hello.failure_domain(), hello.process(), hello.link_mbps()}, now);
+        relay.registerRelay(peer, {hello.failure_domain(), hello.process(), hello.link_mbps()},
+                            now);
     } else {
-        relay.dropCarrier(peer);
+        relay.unregisterRelay(peer);
     }
     peersHeardAt[peer] = now;
     sendWelcome(peer, now);
@@ -125,12 +127,12 @@
     messages::work_envelope envelope;
     envelope.set_from(settings.name);
     auto *answer = envelope.mutable_welcome();
-    const auto &view = log.view();
-    for (const auto &member : view.members.members()) {
+    const auto &view = log.state();
+    for (const auto &member : view.membership.members()) {
         *answer->add_members() = member;
     }
     const bool leads = dispatch && log.isServing(now);
-    const auto *leader = leads ? nullptr : findMember(view.members, view.leader);
+    const auto *leader = leads ? nullptr : findMember(view.membership, view.leader);
     if (leads) {
         answer->set_leader(view.self);
         answer->set_leader_address(settings.address);
@@ -147,7 +149,7 @@
 void work_controller::announceLeadership(time_point now)
 {
     std::erase_if(peersHeardAt, [&](const auto &each) { return now - each.second >= peerSpan; });
-    for (const auto &[peer, heardAt] : peersHeardAt) {
+    for (const auto &[peer, lastContactAt] : peersHeardAt) {
         sendWelcome(peer, now);
     }
 }
@@ -226,7 +228,7 @@
         const auto &command = batch.commands(i);
         const auto outcome = applyCommand(state, command, batch.wall_ms());
         metrics.countCommand(commandName(command));
-        const bool isOwn = !waiting.empty() && entry.term() == log.view().term;
+        const bool isOwn = !waiting.empty() && entry.term() == log.state().term;
         afterApplied(command, outcome,
                      isOwn ? waiting.mapped().replies[static_cast<std::size_t>(i)] : reply_to {});
     }
@@ -237,7 +239,7 @@
 {
     const bool isRefused = outcome.error != error_kind::None;
     if (dispatch) {
-        afterCommand(*dispatch, command, isRefused, flushNow);
+        handleCommittedCommand(*dispatch, command, isRefused, flushNow);
     }
     using body = messages::work_command::BodyCase;
     switch (command.body_case()) {
@@ -276,28 +278,28 @@
     }
 }
 
-void work_controller::takeOrderAnswer(const target_order &order, const order_answer &answer,
-                                      time_point now)
+void work_controller::handleOrderAnswer(const target_order &order, const order_answer &answer,
+                                        time_point now)
 {
     metrics.observeOrder(orderName(order.kind), std::string {resultName(answer.result)},
                          now - order.sentAt);
     if (dispatch) {
-        filbert::takeOrderAnswer(*dispatch, order, answer, now);
+        filbert::handleOrderAnswer(*dispatch, order, answer, now);
     }
 }
 
-void work_controller::takeTime(time_point now)
+void work_controller::tick(time_point now)
 {
-    log.takeTime(now);
-    relay.takeTime(now);
+    log.tick(now);
+    relay.tick(now);
     if (isStopping) {
-        log.handOverLeadership(now);
+        log.transferLeadership(now);
     }
     if (dispatch && log.isServing(now)) {
         reviewMembership(now);
     }
-    const auto &view = log.view();
-    const bool isIn = findMember(view.members, view.self) != nullptr;
+    const auto &view = log.state();
+    const bool isIn = findMember(view.membership, view.self) != nullptr;
     const bool hasLeader = !view.leader.empty();
     if ((isIn && hasLeader) || isStopping || now < joinAt) {
         return;
@@ -309,7 +311,7 @@
     self->set_identity(view.self);
     self->set_name(settings.name);
     self->set_address(settings.address);
-    for (const auto &address : hooks.knownAddresses()) {
+    for (const auto &address : hooks.controllerAddresses()) {
         if (address != settings.address) {
             messages::member to;
             to.set_address(address);
@@ -320,36 +322,36 @@
 
 int work_controller::countVoters() const
 {
-    const auto &members = log.view().members.members();
+    const auto &members = log.state().membership.members();
     return static_cast<int>(std::count_if(members.begin(), members.end(),
                                           [](const auto &each) { return !each.learner(); }));
 }
 
 void work_controller::reviewMembership(time_point now)
 {
-    formation_view view;
-    view.members = &log.view().members;
-    view.self = log.view().self;
+    membership_view view;
+    view.membership = &log.state().membership;
+    view.self = log.state().self;
     view.leadingSince = leadingSince;
     for (const auto &[identity, candidate] : candidates) {
-        view.candidates.push_back(candidate);
+        view.pendingJoins.push_back(candidate);
     }
-    for (const auto &member : view.members->members()) {
-        view.heardAt[member.identity()] = log.heardFrom(member.identity());
+    for (const auto &member : view.membership->members()) {
+        view.lastContactAt[member.identity()] = log.lastContactWith(member.identity());
     }
-    const auto step = nextFormationStep(view, settings.formation, now);
+    const auto step = nextMembershipChange(view, settings.formation, now);
     if (!step) {
         return;
     }
-    if (log.change(step->add, step->which, now)) {
+    if (log.proposeMembershipChange(step->add, step->member, now)) {
         return; // another change is in progress; the next call decides again
     }
-    candidates.erase(step->which.identity());
+    candidates.erase(step->member.identity());
     log_line {"membership_change"}
         .with("add", step->add)
-        .with("identity", step->which.identity())
-        .with("address", step->which.address())
-        .with("members", log.view().members.members_size())
+        .with("identity", step->member.identity())
+        .with("address", step->member.address())
+        .with("members", log.state().membership.members_size())
         .with("reason", step->reason);
 }
 
@@ -367,7 +369,7 @@
 
 void work_controller::reviewLeadership(time_point now, std::int64_t wallMs)
 {
-    const auto &view = log.view();
+    const auto &view = log.state();
     if (dispatch && (view.role != replica_role::Leader || dispatch->term != view.term)) {
         log_line {"leading_ended"}.with("term", dispatch->term);
         dispatch.reset();
@@ -376,21 +378,21 @@
         turnAwayAll();
         return;
     }
-    if (!dispatch && log.isSettled() && !isStopping && hasLease(view, now)) {
+    if (!dispatch && log.hasAppliedAll() && !isStopping && hasLease(view, now)) {
         turnAwayAll();
         relay.startTerm(now);
         dispatch = startDispatch(state, settings.dispatch, view.term, now, wallMs);
         for (const auto &[name, caller] : policyCallers) {
-            takeCaller(*dispatch, name, caller.process, caller.heardAt);
+            registerCaller(*dispatch, name, caller.process, caller.lastContactAt);
         }
         leadingSince = now;
         announceLeadership(now);
-        metrics.countElection();
+        metrics.countTermLed();
         log_line {"leading"}
             .with("term", view.term)
-            .with("applied", view.applied)
+            .with("applied", view.appliedIndex)
             .with("jobs", state.jobs.size())
-            .with("targets", state.lives.size())
+            .with("targets", state.targets.size())
             .with("configuration", state.configuration.version());
     }
 }
@@ -410,9 +412,10 @@
         return;
     }
     for (const auto &order : std::exchange(dispatch->effects.orders, {})) {
-        const auto life = state.lives.find(order.target);
-        const auto domain =
-            life == state.lives.end() ? std::string {} : life->second.about.failure_domain();
+        const auto life = state.targets.find(order.target);
+        const auto domain = life == state.targets.end()
+            ? std::string {}
+            : life->second.registration.failure_domain();
         relay.send(order, dispatch->targets.size(), domain, now);
     }
     relay.flush(now);
@@ -427,10 +430,10 @@
 std::error_code work_controller::flush(time_point now, std::int64_t wallMs)
 {
     flushNow = now;
-    log.takeTime(now); // sends heartbeats on time even when a turn takes long
+    log.tick(now); // sends heartbeats on time even when a turn takes long
     reviewLeadership(now, wallMs);
     if (dispatch && log.isServing(now)) {
-        stepDispatch(*dispatch, now, wallMs);
+        tickDispatch(*dispatch, now, wallMs);
     }
     proposePending(now, wallMs);
     if (const auto error = log.flush(now)) {
@@ -444,10 +447,10 @@
 void work_controller::prepareToStop(time_point now)
 {
     isStopping = true;
-    log.handOverLeadership(now);
+    log.transferLeadership(now);
 }
 
-void work_controller::setDispatch(const dispatch_settings &changed)
+void work_controller::setDispatchSettings(const dispatch_settings &changed)
 {
     settings.dispatch = changed;
     if (dispatch) {
--- a/modules/filbert_node/work_controller.h
+++ b/modules/filbert_node/work_controller.h
@@ -19,8 +19,8 @@
     std::string name;
     std::string address; // tcp://IP:port, for messages of other processes
     dispatch_settings dispatch;
-    formation_settings formation;
-    order_relay_settings relay;
+    membership_settings formation;
+    order_router_settings router;
     // Between requests to join. A leader keeps one for five times as long.
     milliseconds joinPeriod {200};
 };
@@ -35,7 +35,7 @@
     /** Calls a target from this process; the answer goes to handleOrderAnswer(). */
     std::function<void(const target_order &)> callTarget;
     /** @return addresses of controllers to which requests to join are sent */
-    std::function<std::vector<std::string>()> knownAddresses;
+    std::function<std::vector<std::string>()> controllerAddresses;
 };
 
 /** One controller: replicates the state of staged jobs, and schedules them while it leads.
@@ -56,14 +56,14 @@
         @param peer    name of the process that sent it
         @param wallMs  wall clock
     */
-    void takeEnvelope(const std::string &peer, const messages::work_envelope &envelope,
-                      time_point now, std::int64_t wallMs);
+    void handleEnvelope(const std::string &peer, const messages::work_envelope &envelope,
+                        time_point now, std::int64_t wallMs);
 
     /** Handles a target's answer to an order, or its failure. */
-    void takeOrderAnswer(const target_order &order, const order_answer &answer, time_point now);
+    void handleOrderAnswer(const target_order &order, const order_answer &answer, time_point now);
 
     /** Does what is due by time alone; call it every 10 to 20 ms. */
-    void takeTime(time_point now);
+    void tick(time_point now);
 
     /** Does what follows from everything since the last flush().
         @return StorageFailed if the process must stop, else no error
@@ -76,10 +76,10 @@
     bool isLeading() const { return dispatch.has_value(); }
 
     /** @return whether the process can stop: it does not lead any more */
-    bool isReadyToStop() const { return log.view().role != replica_role::Leader; }
+    bool isReadyToStop() const { return log.state().role != replica_role::Leader; }
 
     /** Changes the scheduling settings of a running controller. */
-    void setDispatch(const dispatch_settings &changed);
+    void setDispatchSettings(const dispatch_settings &changed);
 
     const work_state &work() const { return state; }
     const log_member &member() const { return log; }
@@ -91,12 +91,12 @@
         std::uint64_t exchange = 0; // id of the request; 0 = no answer is expected
     };
 
-    void takeRequest(const reply_to &from, const messages::work_request &request, time_point now,
-                     std::int64_t wallMs);
+    void handleRequest(const reply_to &from, const messages::work_request &request, time_point now,
+                       std::int64_t wallMs);
     void takeJobCall(const reply_to &from, const messages::job_call &call, std::int64_t wallMs);
-    void takeSubmission(const reply_to &from, const messages::job_call &call,
-                        const messages::work_queue &queue, const std::string &team,
-                        const std::string &id, std::int64_t wallMs);
+    void handleSubmission(const reply_to &from, const messages::job_call &call,
+                          const messages::work_queue &queue, const std::string &team,
+                          const std::string &id, std::int64_t wallMs);
     void takeConfiguration(const reply_to &from, const messages::work_configuration &document);
     void welcome(const std::string &peer, const messages::peer_hello &hello, time_point now);
     void sendWelcome(const std::string &peer, time_point now);
@@ -125,7 +125,7 @@
     struct policy_caller
     {
         std::uint64_t process = 0;
-        time_point heardAt;
+        time_point lastContactAt;
     };
 
     struct open_batch
@@ -142,13 +142,13 @@
     std::optional<dispatch_state> dispatch; // while leading
     std::vector<pending_command> pending;
     std::map<std::uint64_t, open_batch> inFlight; // proposed, not applied yet; by log index
-    std::map<std::string, join_candidate> candidates; // for membership; by identity
+    std::map<std::string, pending_join> candidates; // for membership; by identity
     std::map<std::string, policy_caller> policyCallers; // by name
     std::map<std::string, time_point> peersHeardAt; // last hello, by name of the process
     time_point leadingSince;
     time_point joinAt;
     time_point flushNow; // time of the current flush(), for the hooks of `log`
-    order_relay relay;
+    order_router relay;
     bool isStopping = false;
 };
 
--- a/modules/filbert_node/work_metrics.h
+++ b/modules/filbert_node/work_metrics.h
@@ -20,7 +20,7 @@
 
     void countCommand(const std::string &kind) { commands.Add({{"kind", kind}}).Increment(); }
     void countAnswer(const std::string &kind) { answers.Add({{"kind", kind}}).Increment(); }
-    void countElection() { elections.Increment(); }
+    void countTermLed() { elections.Increment(); }
 
     /** Records that a batch of commands was applied. @param took time since it was proposed */
     void observeCommit(milliseconds took);
--- a/modules/filbert_node/work_requests.cpp
+++ b/modules/filbert_node/work_requests.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-void work_controller::takeRequest(const reply_to &from, const messages::work_request &request,
-                                  time_point now, std::int64_t wallMs)
+void work_controller::handleRequest(const reply_to &from, const messages::work_request &request,
+                                    time_point now, std::int64_t wallMs)
 {
     if (!dispatch || isStopping || !log.isServing(now)) {
         answerKind(from, messages::ANSWER_NO_LEADER);
@@ -33,7 +33,7 @@
         break;
     case body::kReport: {
         const auto known = dispatch->effects.commands.size();
-        if (!takeReport(*dispatch, request.report(), now)) {
+        if (!handleTargetReport(*dispatch, request.report(), now)) {
             answerKind(from, messages::ANSWER_OK);
             break;
         }
@@ -43,7 +43,7 @@
         break;
     }
     case body::kTargetLeaves:
-        takeLeave(*dispatch, request.target_leaves(), now);
+        handleTargetLeaving(*dispatch, request.target_leaves(), now);
         answerKind(from, messages::ANSWER_OK);
         break;
     case body::kConfigure:
@@ -73,12 +73,12 @@
                    retryWhileForming.count);
         return;
     }
-    const auto *queue = queueFor(configuration, call.host(), call.path());
+    const auto *queue = findQueueByPath(configuration, call.host(), call.path());
     if (queue == nullptr) {
         answerKind(from, messages::ANSWER_NO_QUEUE);
         return;
     }
-    const auto *team = teamWithKey(configuration, call.key());
+    const auto *team = findTeamByKey(configuration, call.key());
     if (team == nullptr && !queue->is_open()) {
         answerKind(from, messages::ANSWER_UNAUTHORIZED);
         return;
@@ -92,7 +92,7 @@
         return;
     }
     if (call.kind() == messages::JOB_SUBMIT) {
-        takeSubmission(from, call, *queue, teamName, id, wallMs);
+        handleSubmission(from, call, *queue, teamName, id, wallMs);
         return;
     }
     const auto job = state.jobs.find(id);
@@ -118,9 +118,9 @@
     propose(std::move(command), from);
 }
 
-void work_controller::takeSubmission(const reply_to &from, const messages::job_call &call,
-                                     const messages::work_queue &queue, const std::string &team,
-                                     const std::string &id, std::int64_t wallMs)
+void work_controller::handleSubmission(const reply_to &from, const messages::job_call &call,
+                                       const messages::work_queue &queue, const std::string &team,
+                                       const std::string &id, std::int64_t wallMs)
 {
     if (state.jobs.contains(id)) {
         answerKind(from, messages::ANSWER_OK); // a repeated submission of an accepted job
@@ -131,7 +131,7 @@
         problem = "expected an id of 16 hexadecimal digits";
     }
     if (problem.empty()) {
-        problem = problemIn(call.job()).value_or("");
+        problem = findProblem(call.job()).value_or("");
     }
     if (!problem.empty()) {
         log_line {"job_refused"}.with("job", id).with("queue", queue.name()).with("why", problem);
@@ -152,7 +152,7 @@
 void work_controller::takeConfiguration(const reply_to &from,
                                         const messages::work_configuration &document)
 {
-    if (const auto problem = problemIn(document)) {
+    if (const auto problem = findProblem(document)) {
         log_line {"configuration_refused"}
             .with("version", document.version())
             .with("held", state.configuration.version())
@@ -164,7 +164,8 @@
         answerKind(from, messages::ANSWER_OK); // not newer: acknowledged without effect
         return;
     }
-    if (state.configuration.version() == 0 && countVoters() < wantedVoters(settings.formation)) {
+    if (state.configuration.version() == 0
+        && countVoters() < desiredVoterCount(settings.formation)) {
         answerKind(from, messages::ANSWER_NOT_NOW, "too few controllers have joined yet",
                    retryWhileForming.count);
         return;
--- a/modules/filbert_policy/placement_pass.cpp
+++ b/modules/filbert_policy/placement_pass.cpp
@@ -20,13 +20,13 @@
 std::uint64_t releasesOf(const scheduler_state &state, const std::string &service)
 {
     const auto pool = state.index.pools.find(service);
-    return pool == state.index.pools.end() ? 0 : pool->second.releases;
+    return pool == state.index.pools.end() ? 0 : pool->second.releaseCount;
 }
 
 /** Whether a task that is not urgent leaves the reserved fraction of all pools that its target
     belongs to and that urgent work uses.
 */
-bool leavesUrgentReserve(const scheduler_state &state, const target_view &target,
+bool leavesUrgentReserve(const scheduler_state &state, const target_entry &target,
                          const resource_amounts &need)
 {
     if (!usesClasses(state)) {
@@ -37,7 +37,7 @@
             return true;
         }
         const auto &pool = state.index.pools.at(service);
-        const auto part = 1 - state.settings.urgentReserve;
+        const auto part = 1 - state.settings.urgentReserveFraction;
         const auto isWithin = [&](std::int64_t used, std::int64_t more, std::int64_t capacity) {
             return static_cast<double>(used + more) <= static_cast<double>(capacity) * part;
         };
@@ -50,8 +50,8 @@
 std::int64_t chooseTarget(const scheduler_state &state, const work_item &item)
 {
     if (state.settings.kind == policy_kind::Filbert) {
-        const auto found = findTarget(state.index, item.service, item.need, item.avoid);
-        const bool isChoosy = item.kind != work_class::Urgent || item.avoid.empty();
+        const auto found = findTarget(state.index, item.service, item.need, item.excludedTargets);
+        const bool isChoosy = item.kind != work_class::Urgent || item.excludedTargets.empty();
         // A caller waits, so a target that failed recently is better than none.
         return found >= 0 || isChoosy ? found
                                       : findTarget(state.index, item.service, item.need, {});
@@ -63,13 +63,13 @@
 void take(scheduler_state &state, const work_item &item, std::int32_t task, std::uint32_t target,
           time_point now, schedule_result *result)
 {
-    const auto placement = state.nextPlacement++;
+    const auto placement = state.nextPlacementId++;
     auto &team = state.teams[item.team];
     settleHistory(state, team, now);
-    running_task running {target,       item.ticket,     task,      item.kind, item.team,
-                          item.service, learnName(item), item.need, now,       item.isIdempotent};
-    noteRunning(state, placement, std::move(running));
-    result->placements.push_back({placement, item.ticket, task, target});
+    running_task running {target,       item.workId,       task,      item.kind, item.team,
+                          item.service, estimateKey(item), item.need, now,       item.isIdempotent};
+    addRunningTask(state, placement, std::move(running));
+    result->placements.push_back({placement, item.workId, task, target});
 }
 
 /** Stops idempotent batch tasks so that an urgent task fits.
@@ -79,7 +79,7 @@
 */
 void preemptFor(scheduler_state &state, work_item &item, time_point now, schedule_result *result)
 {
-    const bool isTooEarly = now - item.since < state.settings.preemptAfter
+    const bool isTooEarly = now - item.waitingSince < state.settings.preemptionDelay
         || (item.preemptedAt.ms != 0 && now - item.preemptedAt < preemptionPause);
     if (!usesClasses(state) || isTooEarly) {
         return;
@@ -88,8 +88,8 @@
     std::int64_t bestLoss = std::numeric_limits<std::int64_t>::max();
     std::size_t looked = 0;
     const auto count = state.index.targets.size();
-    for (std::size_t i = 0; i < count && looked < state.settings.preemptionTargets; ++i) {
-        const auto number = (i + static_cast<std::size_t>(item.ticket)) % count;
+    for (std::size_t i = 0; i < count && looked < state.settings.maxPreemptionCandidates; ++i) {
+        const auto number = (i + static_cast<std::size_t>(item.workId)) % count;
         const auto &target = state.index.targets[number];
         if (!target.isEligible || !offers(target, item.service)) {
             continue;
@@ -99,11 +99,11 @@
         for (const auto placement : state.runningOnTarget[number]) {
             const auto &task = state.running.at(placement);
             if (task.kind == work_class::Batch && task.isIdempotent && !task.isStopping) {
-                victims.emplace_back((now - task.since).count, placement);
+                victims.emplace_back((now - task.startedAt).count, placement);
             }
         }
         std::sort(victims.begin(), victims.end());
-        auto room = roomOf(target);
+        auto room = freeResources(target);
         std::int64_t loss = 0;
         std::vector<std::uint64_t> chosen;
         for (const auto &[lost, placement] : victims) {
@@ -127,11 +127,12 @@
 }
 
 /** Whether a target belongs to a pool that is reserved for a gang. */
-bool isHeldForGang(const scheduler_state &state, const target_view &target)
+bool isHeldForGang(const scheduler_state &state, const target_entry &target)
 {
-    return !state.heldPools.empty()
-        && std::any_of(target.services.begin(), target.services.end(),
-                       [&](const auto &service) { return state.heldPools.contains(service); });
+    return !state.poolReservations.empty()
+        && std::any_of(target.services.begin(), target.services.end(), [&](const auto &service) {
+               return state.poolReservations.contains(service);
+           });
 }
 
 /** Starts one task of an urgent or batch work item, if it fits. */
@@ -162,10 +163,10 @@
     milliseconds latest;
     for (const auto placement : state.runningOnTarget[target]) {
         const auto &task = state.running.at(placement);
-        const auto known = state.learned.find(task.learnName);
-        const bool isKnown = known != state.learned.end() && known->second.runTime.count > 0;
+        const auto known = state.usageEstimates.find(task.estimateKey);
+        const bool isKnown = known != state.usageEstimates.end() && known->second.runTime.count > 0;
         const auto runTime = isKnown ? known->second.runTime : unknownRunTime;
-        latest = std::max(latest, runTime - (now - task.since));
+        latest = std::max(latest, runTime - (now - task.startedAt));
     }
     return latest;
 }
@@ -213,9 +214,9 @@
         return;
     }
     for (const auto number : chosen) {
-        setReserved(state.index, number, item.ticket);
+        setReservation(state.index, number, item.workId);
     }
-    state.reservations[item.ticket] = std::move(chosen);
+    state.targetReservations[item.workId] = std::move(chosen);
 }
 
 /** Makes a reservation for a gang that has waited long enough, so that other batch work does not
@@ -229,20 +230,20 @@
 {
     if (!canGatherAnywhere(state, item)) {
         reserveTargets(state, item, now);
-    } else if (!state.heldPools.contains(item.service)) {
-        state.heldPools[item.service] = item.ticket;
+    } else if (!state.poolReservations.contains(item.service)) {
+        state.poolReservations[item.service] = item.workId;
     }
 }
 
 /** Ends the reservation of a pool for a gang, if there is one. */
 void endHold(scheduler_state &state, std::uint64_t ticket)
 {
-    const auto ended =
-        std::erase_if(state.heldPools, [&](const auto &hold) { return hold.second == ticket; });
+    const auto ended = std::erase_if(state.poolReservations,
+                                     [&](const auto &hold) { return hold.second == ticket; });
     if (ended > 0) {
         // Work of any pool that shares targets with this one may be blocked and can now be retried.
         for (auto &[name, pool] : state.index.pools) {
-            ++pool.releases;
+            ++pool.releaseCount;
         }
     }
 }
@@ -256,7 +257,7 @@
     if (pool == state.index.pools.end()) {
         return false;
     }
-    return fitsWithin(timesOf(item.need, item.tasks.size()),
+    return fitsWithin(scaledBy(item.need, item.tasks.size()),
                       pool->second.capacity - pool->second.used);
 }
 
@@ -265,10 +266,10 @@
 */
 bool placeGang(scheduler_state &state, work_item &item, time_point now, schedule_result *result)
 {
-    const auto reserved = state.reservations.find(item.ticket);
-    if (reserved != state.reservations.end()) {
+    const auto reserved = state.targetReservations.find(item.workId);
+    if (reserved != state.targetReservations.end()) {
         for (const auto number : reserved->second) {
-            setReserved(state.index, number, 0);
+            setReservation(state.index, number, 0);
         }
     }
     std::vector<std::uint32_t> chosen;
@@ -282,23 +283,24 @@
             break;
         }
         chosen.push_back(static_cast<std::uint32_t>(target));
-        addUse(state.index, chosen.back(), item.service, item.need);
+        addUsage(state.index, chosen.back(), item.service, item.need);
     }
     for (const auto number : chosen) {
-        undoUse(state.index, number, item.service, item.need);
+        undoUsage(state.index, number, item.service, item.need);
     }
     if (chosen.size() < item.tasks.size()) {
-        if (reserved != state.reservations.end()) {
+        if (reserved != state.targetReservations.end()) {
             for (const auto number : reserved->second) {
-                setReserved(state.index, number, item.ticket);
+                setReservation(state.index, number, item.workId);
             }
-        } else if (usesClasses(state) && now - item.since >= state.settings.reserveGangAfter) {
+        } else if (usesClasses(state)
+                   && now - item.waitingSince >= state.settings.gangReservationDelay) {
             reserveFor(state, item, now);
         }
         return false;
     }
-    state.reservations.erase(item.ticket);
-    endHold(state, item.ticket);
+    state.targetReservations.erase(item.workId);
+    endHold(state, item.workId);
     for (std::size_t i = 0; i < chosen.size(); ++i) {
         take(state, item, item.tasks[i], chosen[i], now, result);
     }
@@ -309,17 +311,18 @@
 /** Whether a work item might start, or lead to a reservation or preemption, if it is tried now. */
 bool isWorthTrying(const scheduler_state &state, const work_item &item, time_point now)
 {
-    const bool isIncomplete = item.tasks.size() < static_cast<std::size_t>(item.together);
+    const bool isIncomplete = item.tasks.size() < static_cast<std::size_t>(item.minTasksToStart);
     if (item.notBefore > now || item.tasks.empty() || isIncomplete) {
         return false;
     }
     const bool mayReserve = item.kind == work_class::Gang && usesClasses(state)
-        && now - item.since >= state.settings.reserveGangAfter
-        && !state.reservations.contains(item.ticket) && !state.heldPools.contains(item.service);
+        && now - item.waitingSince >= state.settings.gangReservationDelay
+        && !state.targetReservations.contains(item.workId)
+        && !state.poolReservations.contains(item.service);
     const bool mayPreempt = item.kind == work_class::Urgent && usesClasses(state)
-        && now - item.since >= state.settings.preemptAfter;
+        && now - item.waitingSince >= state.settings.preemptionDelay;
     return !item.isBlocked || mayReserve || mayPreempt
-        || item.blockedAt != releasesOf(state, item.service);
+        || item.releaseCountWhenBlocked != releasesOf(state, item.service);
 }
 
 /** Whether the next start of a work item keeps its team within the upper limit. */
@@ -327,13 +330,13 @@
 {
     const auto &team = state.teams.at(item.team);
     const auto together = item.kind == work_class::Gang ? item.tasks.size() : 1;
-    return fitsWithin(team.used + timesOf(item.need, together), team.limit);
+    return fitsWithin(team.used + scaledBy(item.need, together), team.limit);
 }
 
 /** Removes the ids of work that no longer waits from a team's queue. The queue is rebuilt only when
     more than half of it may be removed, so the amortized cost is constant for each id.
 */
-void removeEnded(const scheduler_state &state, const team_view &team, work_class kind,
+void removeEnded(const scheduler_state &state, const team_state &team, work_class kind,
                  std::deque<std::uint64_t> *queue)
 {
     while (!queue->empty() && !state.waiting.contains(queue->front())) {
@@ -360,14 +363,14 @@
 }
 
 /** Starts the first of a team's work items that fits. @return whether one was started */
-bool placeFrom(scheduler_state &state, team_view &team, const std::vector<work_class> &classes,
+bool placeFrom(scheduler_state &state, team_state &team, const std::vector<work_class> &classes,
                time_point now, schedule_result *result)
 {
     for (const auto kind : classes) {
-        auto &queue = team.waiting[static_cast<std::size_t>(kind)];
+        auto &queue = team.waitingIds[static_cast<std::size_t>(kind)];
         removeEnded(state, team, kind, &queue);
         std::size_t looked = 0;
-        for (std::size_t i = 0; i < queue.size() && looked < state.settings.jobsLookedAt; ++i) {
+        for (std::size_t i = 0; i < queue.size() && looked < state.settings.maxItemsScanned; ++i) {
             const auto ticket = queue[i];
             const auto found = state.waiting.find(ticket);
             if (found == state.waiting.end()) {
@@ -385,22 +388,22 @@
                 return true;
             }
             item.isBlocked = true;
-            item.blockedAt = releasesOf(state, item.service);
+            item.releaseCountWhenBlocked = releasesOf(state, item.service);
         }
     }
     return false;
 }
 
 /** @return since when the longest waiting of the first items of a team's queues has waited */
-time_point oldestWaiting(const scheduler_state &state, const team_view &team,
+time_point oldestWaiting(const scheduler_state &state, const team_state &team,
                          const std::vector<work_class> &classes)
 {
     time_point oldest {std::numeric_limits<std::int64_t>::max()};
     for (const auto kind : classes) {
-        for (const auto ticket : team.waiting[static_cast<std::size_t>(kind)]) {
+        for (const auto ticket : team.waitingIds[static_cast<std::size_t>(kind)]) {
             const auto found = state.waiting.find(ticket);
             if (found != state.waiting.end()) {
-                oldest = std::min(oldest, found->second.since);
+                oldest = std::min(oldest, found->second.waitingSince);
                 break;
             }
         }
@@ -411,7 +414,7 @@
 /** A team that has work waiting, during a pass. */
 struct contender
 {
-    team_view *team = nullptr;
+    team_state *team = nullptr;
     double use = 0;
     time_point oldest;
     bool isExhausted = false; // nothing more of it can start in this pass
@@ -426,9 +429,9 @@
 
 void expireUrgent(scheduler_state &state, time_point now, schedule_result *result)
 {
-    while (!state.giveUps.empty() && state.giveUps.begin()->first <= now) {
-        const auto ticket = state.giveUps.begin()->second;
-        state.giveUps.erase(state.giveUps.begin());
+    while (!state.startDeadlines.empty() && state.startDeadlines.begin()->first <= now) {
+        const auto ticket = state.startDeadlines.begin()->second;
+        state.startDeadlines.erase(state.startDeadlines.begin());
         const auto found = state.waiting.find(ticket);
         if (found == state.waiting.end()) {
             continue;
@@ -436,7 +439,7 @@
         const bool isLimit = !isWithinLimit(state, found->second);
         result->refusals.push_back(
             {ticket, isLimit ? error_kind::LimitReached : error_kind::NoCapacity});
-        dropWork(state, ticket);
+        removeWork(state, ticket);
     }
 }
 
@@ -451,7 +454,7 @@
         });
         if (hasWork) {
             contenders.push_back(
-                {&team, weightedUse(state, team, now), oldestWaiting(state, team, classes)});
+                {&team, weightedUsage(state, team, now), oldestWaiting(state, team, classes)});
         }
     }
     while (true) {
@@ -465,7 +468,7 @@
             return;
         }
         if (placeFrom(state, *best->team, classes, now, result)) {
-            best->use = weightedUse(state, *best->team, now);
+            best->use = weightedUsage(state, *best->team, now);
             best->oldest = oldestWaiting(state, *best->team, classes);
         } else {
             best->isExhausted = true;
@@ -476,14 +479,14 @@
 void dropReservation(scheduler_state &state, std::uint64_t ticket)
 {
     endHold(state, ticket);
-    const auto found = state.reservations.find(ticket);
-    if (found == state.reservations.end()) {
+    const auto found = state.targetReservations.find(ticket);
+    if (found == state.targetReservations.end()) {
         return;
     }
     for (const auto number : found->second) {
-        setReserved(state.index, number, 0);
+        setReservation(state.index, number, 0);
     }
-    state.reservations.erase(found);
+    state.targetReservations.erase(found);
 }
 
 void dropReservationsOf(scheduler_state &state, std::uint32_t target)
@@ -499,7 +502,7 @@
     resource_amounts most;
     for (const auto &target : state.index.targets) {
         if (offers(target, item.service)) {
-            most = largerOf(most, target.capacity);
+            most = componentMax(most, target.capacity);
         }
     }
     const auto &need = item.need;
--- a/modules/filbert_policy/placement_pass.h
+++ b/modules/filbert_policy/placement_pass.h
@@ -17,7 +17,7 @@
              schedule_result *result);
 
 /** Brings a team's decayed usage history up to now; to be called before its usage changes. */
-void settleHistory(const scheduler_state &state, team_view &team, time_point now);
+void settleHistory(const scheduler_state &state, team_state &team, time_point now);
 
 /** Releases every reservation of a gang, of targets and of a service pool. */
 void dropReservation(scheduler_state &state, std::uint64_t ticket);
--- a/modules/filbert_policy/resource_amounts.h
+++ b/modules/filbert_policy/resource_amounts.h
@@ -56,7 +56,7 @@
     @param count  number of tasks
     @return what all of them need in total
 */
-inline resource_amounts timesOf(const resource_amounts &need, std::size_t count)
+inline resource_amounts scaledBy(const resource_amounts &need, std::size_t count)
 {
     const auto times = static_cast<std::int64_t>(count);
     return {need.milliCores * times, need.memoryMb * times, need.accelerators * times,
@@ -71,7 +71,7 @@
 }
 
 /** @return the larger of two amounts, for each resource separately */
-inline resource_amounts largerOf(const resource_amounts &a, const resource_amounts &b)
+inline resource_amounts componentMax(const resource_amounts &a, const resource_amounts &b)
 {
     return {std::max(a.milliCores, b.milliCores), std::max(a.memoryMb, b.memoryMb),
             std::max(a.accelerators, b.accelerators), std::max(a.slots, b.slots)};
--- a/modules/filbert_policy/scheduler.cpp
+++ b/modules/filbert_policy/scheduler.cpp
@@ -20,7 +20,7 @@
         return;
     }
     const auto &health = state.health[name];
-    setEligible(state.index, found->second, health.isHeard && !health.isQuarantined);
+    setEligible(state.index, found->second, health.isAvailable && !health.isQuarantined);
 }
 
 /** @return how many work items of a class a team may have waiting */
@@ -36,7 +36,7 @@
     constexpr int maxDoublings = 16;
     const auto &settings = state.settings;
     const auto doublings = std::min(std::max(failures - 1, 0), maxDoublings);
-    return std::min(settings.retryBackoffMax, settings.retryBackoff * (1LL << doublings));
+    return std::min(settings.maxRetryBackoff, settings.retryBackoff * (1LL << doublings));
 }
 
 /** Appends work to its team's queue. */
@@ -44,12 +44,12 @@
 {
     auto &team = state.teams[item.team];
     const auto kind = static_cast<std::size_t>(item.kind);
-    team.waiting[kind].push_back(item.ticket);
+    team.waitingIds[kind].push_back(item.workId);
     ++team.waitingCount[kind];
-    if (item.giveUpAt.ms != 0) {
-        state.giveUps.emplace(item.giveUpAt, item.ticket);
+    if (item.startDeadline.ms != 0) {
+        state.startDeadlines.emplace(item.startDeadline, item.workId);
     }
-    const auto ticket = item.ticket;
+    const auto ticket = item.workId;
     state.waiting.insert_or_assign(ticket, std::move(item));
 }
 
@@ -59,13 +59,13 @@
 {
     const auto &settings = state.settings;
     health.nextQuarantine = health.nextQuarantine.count == 0
-        ? settings.quarantineFirst
-        : std::min(settings.quarantineMax, health.nextQuarantine * 2);
+        ? settings.initialQuarantine
+        : std::min(settings.maxQuarantine, health.nextQuarantine * 2);
     health.quarantinedUntil = now + health.nextQuarantine;
     health.isQuarantined = true;
     log_line {"target_quarantined", log_line::severity::Warning}
         .with("target", name)
-        .with("distinct_jobs", health.failedJobs.size())
+        .with("distinct_jobs", health.consecutiveFailures.size())
         .with("until_ms", health.nextQuarantine.count);
     refreshEligibility(state, name);
 }
@@ -86,11 +86,11 @@
     state.urgentServices = std::move(services);
 }
 
-void setTarget(scheduler_state &state, target_view view, bool isHeard)
+void updateTarget(scheduler_state &state, target_entry view, bool isHeard)
 {
     const auto name = view.name;
     auto &health = state.health[name];
-    health.isHeard = isHeard;
+    health.isAvailable = isHeard;
     view.isEligible = isHeard && !health.isQuarantined;
     const auto found = state.index.byName.find(name);
     if (found != state.index.byName.end()) {
@@ -105,14 +105,14 @@
     }
 }
 
-void dropTarget(scheduler_state &state, const std::string &name)
+void unregisterTarget(scheduler_state &state, const std::string &name)
 {
     const auto found = state.index.byName.find(name);
     if (found == state.index.byName.end()) {
         return;
     }
     removeTarget(state.index, found->second);
-    state.health[name].isHeard = false;
+    state.health[name].isAvailable = false;
 }
 
 std::error_code addWork(scheduler_state &state, work_item &&item, time_point now)
@@ -122,33 +122,33 @@
     if (team.waitingCount[kind] >= waitingBound(state, item.kind)) {
         return error_kind::Overloaded;
     }
-    if (!fitsWithin(item.declared, team.limit)) {
+    if (!fitsWithin(item.declaredNeed, team.limit)) {
         return error_kind::LimitReached;
     }
-    const auto known = state.learned.find(learnName(item));
-    item.need = item.declared;
-    if (known != state.learned.end()) {
-        const auto learned = largerOf(item.declared, known->second.seen);
+    const auto known = state.usageEstimates.find(estimateKey(item));
+    item.need = item.declaredNeed;
+    if (known != state.usageEstimates.end()) {
+        const auto learned = componentMax(item.declaredNeed, known->second.peakUsage);
         const bool isPossible =
             fitsWithin(learned, team.limit) && couldEverFit(state.index, item.service, learned);
-        item.need = isPossible ? learned : item.declared;
+        item.need = isPossible ? learned : item.declaredNeed;
     }
     const bool isHopeless = item.kind == work_class::Urgent
         && state.index.pools.contains(item.service)
-        && state.index.pools.at(item.service).targets > 0
+        && state.index.pools.at(item.service).targetCount > 0
         && findTarget(state.index, item.service, item.need, {}) < 0
         && !couldEverFit(state.index, item.service, item.need);
     if (isHopeless) {
         return error_kind::NeverFits;
     }
-    item.since = now;
+    item.waitingSince = now;
     enqueue(state, std::move(item));
     return {};
 }
 
-void returnTask(scheduler_state &state, work_item &&item, std::int32_t task, time_point now)
+void requeueTask(scheduler_state &state, work_item &&item, std::int32_t task, time_point now)
 {
-    const auto found = state.waiting.find(item.ticket);
+    const auto found = state.waiting.find(item.workId);
     if (found != state.waiting.end()) {
         auto &known = found->second;
         known.tasks.push_back(task);
@@ -157,29 +157,29 @@
         return;
     }
     item.tasks = {task};
-    item.need = item.declared;
-    item.since = now;
+    item.need = item.declaredNeed;
+    item.waitingSince = now;
     if (item.failures > 0) {
         item.notBefore = now + backoffAfter(state, item.failures);
     }
     enqueue(state, std::move(item));
 }
 
-void setTogether(scheduler_state &state, std::uint64_t ticket, std::int32_t together)
+void setMinTasksToStart(scheduler_state &state, std::uint64_t ticket, std::int32_t together)
 {
     const auto found = state.waiting.find(ticket);
     if (found != state.waiting.end()) {
-        found->second.together = together;
+        found->second.minTasksToStart = together;
         found->second.isBlocked = false;
     }
 }
 
-std::string learnName(const work_item &item)
+std::string estimateKey(const work_item &item)
 {
     return item.team + "/" + (item.name.empty() ? item.service : item.name);
 }
 
-void dropWork(scheduler_state &state, std::uint64_t ticket)
+void removeWork(scheduler_state &state, std::uint64_t ticket)
 {
     const auto found = state.waiting.find(ticket);
     if (found == state.waiting.end()) {
@@ -191,9 +191,9 @@
     dropReservation(state, ticket);
 }
 
-void noteRunning(scheduler_state &state, std::uint64_t placement, running_task &&task)
+void addRunningTask(scheduler_state &state, std::uint64_t placement, running_task &&task)
 {
-    addUse(state.index, task.target, task.service, task.need);
+    addUsage(state.index, task.target, task.service, task.need);
     state.teams[task.team].used += task.need;
     state.runningOnTarget[task.target].insert(placement);
     state.running.emplace(placement, std::move(task));
@@ -212,10 +212,11 @@
     team.used -= task.need;
     FILBERT_INVARIANT(fitsWithin({}, team.used), "the usage of a team is never negative");
     state.runningOnTarget[task.target].erase(placement);
-    dropUse(state.index, task.target, task.service, task.need);
+    removeUsage(state.index, task.target, task.service, task.need);
 }
 
-void noteResult(scheduler_state &state, std::uint64_t placement, bool succeeded, time_point now)
+void recordTaskResult(scheduler_state &state, std::uint64_t placement, bool succeeded,
+                      time_point now)
 {
     const auto found = state.running.find(placement);
     if (found == state.running.end()) {
@@ -225,62 +226,64 @@
     auto &target = state.index.targets[task.target];
     auto &health = state.health[target.name];
     if (succeeded) {
-        auto &known = state.learned[task.learnName];
-        const auto took = now - task.since;
+        auto &known = state.usageEstimates[task.estimateKey];
+        const auto took = now - task.startedAt;
         known.runTime = known.runTime.count == 0
             ? took
             : milliseconds {(known.runTime.count * 3 + took.count) / 4};
-        known.seen.milliCores =
-            static_cast<std::int64_t>(static_cast<double>(known.seen.milliCores) * seenDecay);
-        known.seen.memoryMb =
-            static_cast<std::int64_t>(static_cast<double>(known.seen.memoryMb) * seenDecay);
-        health.failedJobs.clear();
-        health.witnesses.clear();
+        known.peakUsage.milliCores =
+            static_cast<std::int64_t>(static_cast<double>(known.peakUsage.milliCores) * seenDecay);
+        known.peakUsage.memoryMb =
+            static_cast<std::int64_t>(static_cast<double>(known.peakUsage.memoryMb) * seenDecay);
+        health.consecutiveFailures.clear();
+        health.reportingGateways.clear();
         health.nextQuarantine = {};
         setProbing(state.index, task.target, false);
         return;
     }
-    noteFailure(state, target.name, task.ticket, now);
+    recordTargetFailure(state, target.name, task.workId, now);
 }
 
-void noteFailure(scheduler_state &state, const std::string &target, std::uint64_t ticket,
-                 time_point now)
+void recordTargetFailure(scheduler_state &state, const std::string &target, std::uint64_t ticket,
+                         time_point now)
 {
     const auto found = state.index.byName.find(target);
     if (found == state.index.byName.end()) {
         return;
     }
     auto &health = state.health[target];
-    health.failedJobs.insert(ticket);
+    health.consecutiveFailures.insert(ticket);
     const bool isProbing = state.index.targets[found->second].isProbing;
     if (!health.isQuarantined
-        && (health.failedJobs.size() >= state.settings.quarantineJobs || isProbing)) {
+        && (health.consecutiveFailures.size() >= state.settings.failuresBeforeQuarantine
+            || isProbing)) {
         quarantine(state, target, health, now);
     }
 }
 
-void noteUnreachable(scheduler_state &state, const unreachable_report &report, time_point now)
+void recordUnreachable(scheduler_state &state, const unreachable_report &report, time_point now)
 {
     auto &health = state.health[report.target];
-    health.witnesses.insert(report.gateway);
-    if (report.placement < health.nextEvidence || health.witnesses.size() < report.witnesses) {
+    health.reportingGateways.insert(report.gateway);
+    if (report.placementId < health.firstCountablePlacement
+        || health.reportingGateways.size() < report.requiredReporters) {
         return;
     }
-    health.nextEvidence = state.nextPlacement;
-    noteFailure(state, report.target, report.placement, now);
+    health.firstCountablePlacement = state.nextPlacementId;
+    recordTargetFailure(state, report.target, report.placementId, now);
 }
 
-void forgetUnreachable(scheduler_state &state, const std::string &target)
+void clearUnreachable(scheduler_state &state, const std::string &target)
 {
     auto &health = state.health[target];
-    if (!std::exchange(health.witnesses, {}).empty()) {
-        health.failedJobs.clear();
+    if (!std::exchange(health.reportingGateways, {}).empty()) {
+        health.consecutiveFailures.clear();
         health.isQuarantined = false;
         health.nextQuarantine = {};
     }
 }
 
-void reviewQuarantines(scheduler_state &state, time_point now)
+void endExpiredQuarantines(scheduler_state &state, time_point now)
 {
     for (auto &[name, health] : state.health) {
         if (!health.isQuarantined || now < health.quarantinedUntil) {
@@ -296,7 +299,7 @@
     }
 }
 
-void noteUsage(scheduler_state &state, std::uint64_t placement, const resource_amounts &used)
+void recordUsage(scheduler_state &state, std::uint64_t placement, const resource_amounts &used)
 {
     const auto found = state.running.find(placement);
     if (found == state.running.end()) {
@@ -307,25 +310,25 @@
     if (isNonsense) {
         return;
     }
-    auto &known = state.learned[found->second.learnName];
-    known.seen = largerOf(known.seen, used);
-    known.seen.slots = 1;
+    auto &known = state.usageEstimates[found->second.estimateKey];
+    known.peakUsage = componentMax(known.peakUsage, used);
+    known.peakUsage.slots = 1;
 }
 
-void settleHistory(const scheduler_state &state, team_view &team, time_point now)
+void settleHistory(const scheduler_state &state, team_state &team, time_point now)
 {
-    const auto passed = static_cast<double>((now - team.historyAt).count);
+    const auto passed = static_cast<double>((now - team.usageHistoryAt).count);
     if (passed <= 0) {
         return;
     }
     const auto halfLife = static_cast<double>(state.settings.historyHalfLife.count);
     const double kept = std::exp2(-passed / halfLife);
     const double current = dominantShare(team.used, state.index.totalCapacity);
-    team.history = team.history * kept + current * (1 - kept);
-    team.historyAt = now;
+    team.usageHistory = team.usageHistory * kept + current * (1 - kept);
+    team.usageHistoryAt = now;
 }
 
-double weightedUse(const scheduler_state &state, team_view &team, time_point now)
+double weightedUsage(const scheduler_state &state, team_state &team, time_point now)
 {
     const auto &settings = state.settings;
     switch (settings.kind) {
@@ -341,7 +344,7 @@
     }
     settleHistory(state, team, now);
     const double current = dominantShare(team.used, state.index.totalCapacity);
-    return (current * (1 - settings.historyWeight) + team.history * settings.historyWeight)
+    return (current * (1 - settings.historyWeight) + team.usageHistory * settings.historyWeight)
         / team.share;
 }
 
@@ -354,15 +357,15 @@
     const auto &item = found->second;
     const auto &team = state.teams.at(item.team);
     wait_reason reason;
-    reason.waited = now - item.since;
-    for (const auto other : team.waiting[static_cast<std::size_t>(item.kind)]) {
+    reason.waited = now - item.waitingSince;
+    for (const auto other : team.waitingIds[static_cast<std::size_t>(item.kind)]) {
         reason.position += state.waiting.contains(other) ? 1 : 0;
         if (other == ticket) {
             break;
         }
     }
     const auto pool = state.index.pools.find(item.service);
-    if (pool == state.index.pools.end() || pool->second.targets == 0) {
+    if (pool == state.index.pools.end() || pool->second.targetCount == 0) {
         reason.text = "no target offers service " + item.service + " at present";
     } else if (!couldEverFit(state.index, item.service, item.need)) {
         reason.text = "no target has the capacity for one task: " + missingResource(state, item);
@@ -371,14 +374,15 @@
     } else if (item.notBefore > now) {
         reason.text = "a task failed; the next attempt is in "
             + std::to_string((item.notBefore - now).count) + " ms";
-    } else if (state.reservations.contains(ticket)) {
+    } else if (state.targetReservations.contains(ticket)) {
         reason.text = "targets are reserved for it and are being drained";
-    } else if (const auto hold = state.heldPools.find(item.service);
-               hold != state.heldPools.end() && hold->second == ticket) {
+    } else if (const auto hold = state.poolReservations.find(item.service);
+               hold != state.poolReservations.end() && hold->second == ticket) {
         reason.text =
             "the targets of its service are reserved for it until enough capacity is free";
     } else if (item.kind == work_class::Gang) {
-        const bool isIncomplete = item.tasks.size() < static_cast<std::size_t>(item.together);
+        const bool isIncomplete =
+            item.tasks.size() < static_cast<std::size_t>(item.minTasksToStart);
         reason.text = isIncomplete
             ? "one of its tasks ended early; the others are being stopped to restart with it"
             : "waiting for capacity to start all " + std::to_string(item.tasks.size())
--- a/modules/filbert_policy/scheduler.h
+++ b/modules/filbert_policy/scheduler.h
@@ -33,48 +33,51 @@
     policy_kind kind = policy_kind::Filbert;
     milliseconds historyHalfLife {300'000}; // of the decayed usage history of a team
     double historyWeight = 0.9; // of the history in a team's weighted usage; the rest is current
-    double urgentReserve = 0.03; // fraction of a pool's cores and slots kept for urgent work
+    double urgentReserveFraction =
+        0.03; // fraction of a pool's cores and slots kept for urgent work
     std::size_t maxUrgentWaiting = 2'000; // per team
     std::size_t maxJobsWaiting = 50'000; // per team
-    milliseconds reserveGangAfter {2'000}; // waiting time before capacity is reserved for a gang
-    milliseconds preemptAfter {300}; // waiting time before batch tasks are stopped for urgent work
+    milliseconds gangReservationDelay {
+        2'000}; // waiting time before capacity is reserved for a gang
+    milliseconds preemptionDelay {
+        300}; // waiting time before batch tasks are stopped for urgent work
     milliseconds retryBackoff {500}; // after a first failure; doubles with each further one
-    milliseconds retryBackoffMax {60'000};
-    milliseconds quarantineFirst {30'000}; // doubles with each further quarantine
-    milliseconds quarantineMax {600'000};
-    std::size_t quarantineJobs = 3; // failures in a row, each of different work
-    std::size_t jobsLookedAt = 16; // work items of a team and class scanned for each start
-    std::size_t preemptionTargets = 64; // candidate targets for one urgent task
+    milliseconds maxRetryBackoff {60'000};
+    milliseconds initialQuarantine {30'000}; // doubles with each further quarantine
+    milliseconds maxQuarantine {600'000};
+    std::size_t failuresBeforeQuarantine = 3; // failures in a row, each of different work
+    std::size_t maxItemsScanned = 16; // work items of a team and class scanned for each start
+    std::size_t maxPreemptionCandidates = 64; // candidate targets for one urgent task
 };
 
-/** How work is scheduled. The values index the arrays of team_view. */
+/** How work is scheduled. The values index the arrays of team_state. */
 enum class work_class {
     Urgent, // a caller waits; may preempt idempotent batch tasks
     Batch, // each task starts by itself
-    Gang, // all waiting tasks start at once or none does
+    Gang // all waiting tasks start at once or none does
 };
 
 /** Work to place: an urgent request, which has one task, or a job with the tasks that wait. */
 struct work_item
 {
-    std::uint64_t ticket = 0; // work id: of a request, or the job's id, whose top bit is clear
+    std::uint64_t workId = 0; // work id: of a request, or the job's id, whose top bit is clear
     work_class kind = work_class::Batch;
     std::string team;
     std::string service;
     std::string queue;
     std::string name; // of the job; usage estimates are kept by name
-    resource_amounts declared; // of one task
+    resource_amounts declaredNeed; // of one task
     resource_amounts need; // of one task: declared, or the estimate where that is larger
     std::vector<std::int32_t> tasks; // indices of the waiting tasks; a request has only 0
     std::int32_t size = 1; // tasks of the whole job
-    std::int32_t together = 1; // waiting tasks that any start requires; all of a gang
-    std::vector<std::string> avoid; // names of targets to be passed over
-    time_point since;
-    time_point giveUpAt; // latest start of urgent work; 0 = none
+    std::int32_t minTasksToStart = 1; // waiting tasks that any start requires; all of a gang
+    std::vector<std::string> excludedTargets; // names of targets to be passed over
+    time_point waitingSince;
+    time_point startDeadline; // latest start of urgent work; 0 = none
     time_point notBefore; // earliest start, after a failure
     milliseconds runTime; // declared; 0 = unknown
     bool isIdempotent = false;
-    std::uint64_t blockedAt = 0; // the pool's release count when it last did not fit
+    std::uint64_t releaseCountWhenBlocked = 0; // the pool's release count when it last did not fit
     bool isBlocked = false; // it did not fit; tried again once the release count has changed
     int failures = 0;
     time_point preemptedAt; // when tasks were last stopped for it
@@ -84,47 +87,48 @@
 struct running_task
 {
     std::uint32_t target = 0; // number in the target index
-    std::uint64_t ticket = 0;
-    std::int32_t task = 0;
+    std::uint64_t workId = 0;
+    std::int32_t taskIndex = 0;
     work_class kind = work_class::Batch;
     std::string team;
     std::string service;
-    std::string learnName; // under which its usage is learned
+    std::string estimateKey; // under which its usage is learned
     resource_amounts need;
-    time_point since;
+    time_point startedAt;
     bool isIdempotent = false;
     bool isStopping = false; // preempted
 };
 
 /** What a team may use, uses and waits for. */
-struct team_view
+struct team_state
 {
     std::string name;
     double share = 1; // weight for fair sharing
     resource_amounts limit;
     resource_amounts used;
-    double history = 0; // exponentially decayed mean of the dominant share
-    time_point historyAt; // when the history was last updated
-    std::array<std::deque<std::uint64_t>, 3> waiting; // work ids by class; some no longer wait
+    double usageHistory = 0; // exponentially decayed mean of the dominant share
+    time_point usageHistoryAt; // when the history was last updated
+    std::array<std::deque<std::uint64_t>, 3> waitingIds; // work ids by class; some no longer wait
     std::array<std::size_t, 3> waitingCount {}; // work items that do wait, by class
 };
 
 /** Availability and recent failures of a target. It outlives the target's removal. */
 struct target_health
 {
-    std::set<std::uint64_t> failedJobs; // ids of what failed since the last success
-    std::uint64_t nextEvidence = 0; // placements below it no longer count as unreachable
-    std::set<std::string> witnesses; // gateways that could not reach it since the last success
+    std::set<std::uint64_t> consecutiveFailures; // ids of what failed since the last success
+    std::uint64_t firstCountablePlacement = 0; // placements below it no longer count as unreachable
+    std::set<std::string>
+        reportingGateways; // gateways that could not reach it since the last success
     time_point quarantinedUntil;
     milliseconds nextQuarantine; // length of the latest quarantine; 0 = none since a success
     bool isQuarantined = false;
-    bool isHeard = false; // may get work, unless quarantined
+    bool isAvailable = false; // may get work, unless quarantined
 };
 
 /** What is learned from finished and running tasks of one name. */
-struct learned_size
+struct usage_estimate
 {
-    resource_amounts seen; // largest reported usage; CPU and memory decay with each success
+    resource_amounts peakUsage; // largest reported usage; CPU and memory decay with each success
     milliseconds runTime; // moving average; 0 = unknown
 };
 
@@ -143,39 +147,40 @@
 {
     policy_settings settings;
     target_index index;
-    std::map<std::string, team_view> teams;
+    std::map<std::string, team_state> teams;
     std::unordered_map<std::uint64_t, work_item> waiting; // by work id
     std::unordered_map<std::uint64_t, running_task> running; // by placement id
     std::vector<std::unordered_set<std::uint64_t>> runningOnTarget; // placement ids by target
     std::map<std::string, target_health> health; // by target name
-    std::unordered_map<std::string, learned_size> learned; // see learnName()
+    std::unordered_map<std::string, usage_estimate> usageEstimates; // see estimateKey()
     std::set<std::string> urgentServices;
-    std::map<std::uint64_t, std::vector<std::uint32_t>> reservations; // targets by gang
-    std::map<std::string, std::uint64_t> heldPools; // by service: the gang it is kept free for
-    std::uint64_t nextPlacement = 1;
-    std::multimap<time_point, std::uint64_t> giveUps; // start deadlines of urgent work
+    std::map<std::uint64_t, std::vector<std::uint32_t>> targetReservations; // targets by gang
+    std::map<std::string, std::uint64_t>
+        poolReservations; // by service: the gang it is kept free for
+    std::uint64_t nextPlacementId = 1;
+    std::multimap<time_point, std::uint64_t> startDeadlines; // start deadlines of urgent work
 };
 
 /** One task to start. */
 struct placement_decision
 {
-    std::uint64_t placement = 0;
-    std::uint64_t ticket = 0;
-    std::int32_t task = 0;
+    std::uint64_t placementId = 0;
+    std::uint64_t workId = 0;
+    std::int32_t taskIndex = 0;
     std::uint32_t target = 0; // number in the target index
 };
 
 /** An urgent request that did not start before its deadline. */
 struct refusal_decision
 {
-    std::uint64_t ticket = 0;
+    std::uint64_t workId = 0;
     error_kind kind = error_kind::NoCapacity;
 };
 
 /** A running task to stop so that urgent work can use its resources. */
 struct stop_decision
 {
-    std::uint64_t placement = 0;
+    std::uint64_t placementId = 0;
 };
 
 /** The decisions of one call of schedule(). */
@@ -198,10 +203,10 @@
     @param view     of a known target, usage, reservation and probing stay as they are
     @param isHeard  whether it may get work; a quarantined target gets none either way
 */
-void setTarget(scheduler_state &state, target_view view, bool isHeard);
+void updateTarget(scheduler_state &state, target_entry view, bool isHeard);
 
 /** Removes a target whose tasks have all been released. */
-void dropTarget(scheduler_state &state, const std::string &name);
+void unregisterTarget(scheduler_state &state, const std::string &name);
 
 /** Queues work.
 
@@ -216,27 +221,28 @@
     @param item  the job; its failures delay the next start
     @param task  index of the task
 */
-void returnTask(scheduler_state &state, work_item &&item, std::int32_t task, time_point now);
+void requeueTask(scheduler_state &state, work_item &&item, std::int32_t task, time_point now);
 
 /** Removes waiting work. It takes constant time: the work id stays in the team's queue, where it is
     skipped.
 */
-void dropWork(scheduler_state &state, std::uint64_t ticket);
+void removeWork(scheduler_state &state, std::uint64_t ticket);
 
 /** Changes how many tasks must start together; an unknown work id is ignored. */
-void setTogether(scheduler_state &state, std::uint64_t ticket, std::int32_t together);
+void setMinTasksToStart(scheduler_state &state, std::uint64_t ticket, std::int32_t together);
 
 /** @return the key under which usage and run time of such work are learned */
-std::string learnName(const work_item &item);
+std::string estimateKey(const work_item &item);
 
 /** Adds a running task, also one that was placed before this leader started. */
-void noteRunning(scheduler_state &state, std::uint64_t placement, running_task &&task);
+void addRunningTask(scheduler_state &state, std::uint64_t placement, running_task &&task);
 
 /** Releases the resources of a task that has ended. */
 void releaseTask(scheduler_state &state, std::uint64_t placement, time_point now);
 
 /** Records how a task ended: run time and usage of its name, or a failure of its target. */
-void noteResult(scheduler_state &state, std::uint64_t placement, bool succeeded, time_point now);
+void recordTaskResult(scheduler_state &state, std::uint64_t placement, bool succeeded,
+                      time_point now);
 
 /** Counts a failure on a target. After several failures in a row, of different work, the target is
     quarantined; while it is probed, the first failure suffices.
@@ -244,35 +250,36 @@
     @param target  name; a target that has been removed is ignored
     @param ticket  id of the work that failed
 */
-void noteFailure(scheduler_state &state, const std::string &target, std::uint64_t ticket,
-                 time_point now);
+void recordTargetFailure(scheduler_state &state, const std::string &target, std::uint64_t ticket,
+                         time_point now);
 
 /** A gateway's report of a placement that it could not deliver to the target. */
 struct unreachable_report
 {
     std::string target;
-    std::uint64_t placement = 0;
+    std::uint64_t placementId = 0;
     std::string gateway; // that reports it
-    std::size_t witnesses = 1; // distinct gateways that must report the target before it counts
+    std::size_t requiredReporters =
+        1; // distinct gateways that must report the target before it counts
 };
 
 /** Counts a placement that could not be delivered as a failure of its target. Placements that were
     decided before the last counted report may have been lost in the same outage, so they do not
     count again.
 
-    @see noteFailure
+    @see recordTargetFailure
 */
-void noteUnreachable(scheduler_state &state, const unreachable_report &report, time_point now);
+void recordUnreachable(scheduler_state &state, const unreachable_report &report, time_point now);
 
 /** Clears the failures and the quarantine of a target that was reported unreachable. It has
     restarted, so the cause no longer applies.
 */
-void forgetUnreachable(scheduler_state &state, const std::string &target);
+void clearUnreachable(scheduler_state &state, const std::string &target);
 
 /** Records the usage that a target reports for a running task. Values below 0 or above the target's
     capacity are ignored.
 */
-void noteUsage(scheduler_state &state, std::uint64_t placement, const resource_amounts &used);
+void recordUsage(scheduler_state &state, std::uint64_t placement, const resource_amounts &used);
 
 /** Decides what starts now. The resources of each placement are in use from then on; the caller
     releases them with releaseTask() if the task does not start.
@@ -283,10 +290,10 @@
 wait_reason explainWaiting(const scheduler_state &state, std::uint64_t ticket, time_point now);
 
 /** Ends the quarantines that have expired; those targets are then probed. */
-void reviewQuarantines(scheduler_state &state, time_point now);
+void endExpiredQuarantines(scheduler_state &state, time_point now);
 
 /** @return what a team uses in relation to its share; the team with the lowest value goes first */
-double weightedUse(const scheduler_state &state, team_view &team, time_point now);
+double weightedUsage(const scheduler_state &state, team_state &team, time_point now);
 
 /** @return the number of waiting work items of a class, over all teams */
 std::size_t countWaiting(const scheduler_state &state, work_class kind);
--- a/modules/filbert_policy/target_index.cpp
+++ b/modules/filbert_policy/target_index.cpp
@@ -10,16 +10,16 @@
 
 constexpr std::int64_t coresPerAcceleratorKey = 1LL << 32;
 
-std::int64_t acceleratorKey(const target_view &target)
+std::int64_t acceleratorKey(const target_entry &target)
 {
-    const auto room = roomOf(target);
+    const auto room = freeResources(target);
     return room.accelerators * coresPerAcceleratorKey + std::max<std::int64_t>(room.milliCores, 0);
 }
 
 /** Whether a target can take a task at present, if the task is small enough. */
-bool isOpen(const target_view &target)
+bool isOpen(const target_entry &target)
 {
-    return target.isEligible && target.reservedFor == 0 && roomOf(target).slots > 0
+    return target.isEligible && target.reservedFor == 0 && freeResources(target).slots > 0
         && !(target.isProbing && target.used.slots > 0);
 }
 
@@ -36,8 +36,9 @@
     for (const auto &service : target.services) {
         auto &domain = index.pools[service].domains[target.failureDomain];
         const bool hasAccelerators = target.capacity.accelerators > 0;
-        auto &set = hasAccelerators ? domain.byAccelerators : domain.byCores;
-        const auto key = hasAccelerators ? acceleratorKey(target) : roomOf(target).milliCores;
+        auto &set = hasAccelerators ? domain.byFreeAccelerators : domain.byFreeCores;
+        const auto key =
+            hasAccelerators ? acceleratorKey(target) : freeResources(target).milliCores;
         if (isIn) {
             set.emplace(key, number);
         } else {
@@ -47,7 +48,7 @@
 }
 
 /** Adds an eligible target to the totals of its pools and of the index, or subtracts it. */
-void countCapacity(target_index &index, const target_view &target, bool isAdded)
+void countCapacity(target_index &index, const target_entry &target, bool isAdded)
 {
     if (!target.isEligible) {
         return;
@@ -57,12 +58,12 @@
         if (isAdded) {
             pool.capacity += target.capacity;
             pool.used += target.used;
-            ++pool.targets;
-            ++pool.releases;
+            ++pool.targetCount;
+            ++pool.releaseCount;
         } else {
             pool.capacity -= target.capacity;
             pool.used -= target.used;
-            --pool.targets;
+            --pool.targetCount;
         }
     }
     if (isAdded) {
@@ -101,28 +102,28 @@
             pool.used += more;
             pool.used -= less;
         }
-        pool.releases += isRelease ? 1 : 0;
+        pool.releaseCount += isRelease ? 1 : 0;
         if (offered == service) {
-            pool.domains[target.failureDomain].running += tasks;
+            pool.domains[target.failureDomain].runningTasks += tasks;
         }
     }
 }
 
 std::uint32_t takeNumber(target_index &index)
 {
-    if (index.freeNumbers.empty()) {
+    if (index.unusedNumbers.empty()) {
         index.targets.emplace_back();
         return static_cast<std::uint32_t>(index.targets.size() - 1);
     }
-    const auto number = index.freeNumbers.back();
-    index.freeNumbers.pop_back();
+    const auto number = index.unusedNumbers.back();
+    index.unusedNumbers.pop_back();
     return number;
 }
 
-bool isUsable(const target_view &target, const resource_amounts &need,
+bool isUsable(const target_entry &target, const resource_amounts &need,
               const std::vector<std::string> &avoid)
 {
-    return fitsWithin(need, roomOf(target))
+    return fitsWithin(need, freeResources(target))
         && std::find(avoid.begin(), avoid.end(), target.name) == avoid.end();
 }
 
@@ -144,24 +145,24 @@
                           const resource_amounts &need, const std::vector<std::string> &avoid)
 {
     if (need.accelerators == 0) {
-        const auto found = firstUsable(index, domain.byCores, need.milliCores, need, avoid);
+        const auto found = firstUsable(index, domain.byFreeCores, need.milliCores, need, avoid);
         if (found >= 0) {
             return found;
         }
-        return firstUsable(index, domain.byAccelerators, 0, need, avoid);
+        return firstUsable(index, domain.byFreeAccelerators, 0, need, avoid);
     }
     const auto key = need.accelerators * coresPerAcceleratorKey + need.milliCores;
-    return firstUsable(index, domain.byAccelerators, key, need, avoid);
+    return firstUsable(index, domain.byFreeAccelerators, key, need, avoid);
 }
 
 } // namespace
 
-resource_amounts roomOf(const target_view &target)
+resource_amounts freeResources(const target_entry &target)
 {
     return target.capacity - target.used;
 }
 
-std::uint32_t upsertTarget(target_index &index, const target_view &view)
+std::uint32_t upsertTarget(target_index &index, const target_entry &view)
 {
     const auto found = index.byName.find(view.name);
     if (found == index.byName.end()) {
@@ -172,7 +173,7 @@
         enlist(index, number, true);
         return number;
     }
-    changeTarget(index, found->second, [&](target_view &target) {
+    changeTarget(index, found->second, [&](target_entry &target) {
         const auto used = target.used;
         const auto reservedFor = target.reservedFor;
         target = view;
@@ -189,23 +190,23 @@
                       "a removed target runs nothing");
     index.byName.erase(index.targets[target].name);
     index.targets[target] = {};
-    index.freeNumbers.push_back(target);
+    index.unusedNumbers.push_back(target);
 }
 
-void addUse(target_index &index, std::uint32_t target, const std::string &service,
-            const resource_amounts &need)
+void addUsage(target_index &index, std::uint32_t target, const std::string &service,
+              const resource_amounts &need)
 {
     changeUse(index, target, service, need, {}, 1, false);
 }
 
-void dropUse(target_index &index, std::uint32_t target, const std::string &service,
-             const resource_amounts &need)
+void removeUsage(target_index &index, std::uint32_t target, const std::string &service,
+                 const resource_amounts &need)
 {
     changeUse(index, target, service, {}, need, -1, true);
 }
 
-void undoUse(target_index &index, std::uint32_t target, const std::string &service,
-             const resource_amounts &need)
+void undoUsage(target_index &index, std::uint32_t target, const std::string &service,
+               const resource_amounts &need)
 {
     changeUse(index, target, service, {}, need, -1, false);
 }
@@ -213,20 +214,20 @@
 void setEligible(target_index &index, std::uint32_t target, bool isEligible)
 {
     if (index.targets[target].isEligible != isEligible) {
-        changeTarget(index, target, [&](target_view &view) { view.isEligible = isEligible; });
+        changeTarget(index, target, [&](target_entry &view) { view.isEligible = isEligible; });
     }
 }
 
 void setProbing(target_index &index, std::uint32_t target, bool isProbing)
 {
     if (index.targets[target].isProbing != isProbing) {
-        changeTarget(index, target, [&](target_view &view) { view.isProbing = isProbing; });
+        changeTarget(index, target, [&](target_entry &view) { view.isProbing = isProbing; });
     }
 }
 
-void setReserved(target_index &index, std::uint32_t target, std::uint64_t ticket)
+void setReservation(target_index &index, std::uint32_t target, std::uint64_t ticket)
 {
-    changeTarget(index, target, [&](target_view &view) { view.reservedFor = ticket; });
+    changeTarget(index, target, [&](target_entry &view) { view.reservedFor = ticket; });
 }
 
 std::int64_t findTarget(const target_index &index, const std::string &service,
@@ -241,8 +242,9 @@
     for (const auto &[name, domain] : pool->second.domains) {
         domains.push_back(&domain);
     }
-    std::stable_sort(domains.begin(), domains.end(),
-                     [](const auto *a, const auto *b) { return a->running < b->running; });
+    std::stable_sort(domains.begin(), domains.end(), [](const auto *a, const auto *b) {
+        return a->runningTasks < b->runningTasks;
+    });
     for (const auto *domain : domains) {
         const auto found = findInDomain(index, *domain, need, avoid);
         if (found >= 0) {
@@ -252,7 +254,7 @@
     return -1;
 }
 
-bool offers(const target_view &target, const std::string &service)
+bool offers(const target_entry &target, const std::string &service)
 {
     return std::find(target.services.begin(), target.services.end(), service)
         != target.services.end();
@@ -263,7 +265,8 @@
 {
     const auto found =
         std::find_if(index.targets.begin(), index.targets.end(), [&](const auto &target) {
-            return isOpen(target) && fitsWithin(need, roomOf(target)) && offers(target, service);
+            return isOpen(target) && fitsWithin(need, freeResources(target))
+                && offers(target, service);
         });
     return found == index.targets.end() ? -1 : found - index.targets.begin();
 }
--- a/modules/filbert_policy/target_index.h
+++ b/modules/filbert_policy/target_index.h
@@ -13,7 +13,7 @@
 namespace filbert {
 
 /** A target in the index. */
-struct target_view
+struct target_entry
 {
     std::string name;
     std::string failureDomain;
@@ -31,10 +31,10 @@
 struct domain_pool
 {
     // Targets without accelerators, by free milli-cores.
-    std::set<std::pair<std::int64_t, std::uint32_t>> byCores;
+    std::set<std::pair<std::int64_t, std::uint32_t>> byFreeCores;
     // Targets with accelerators, by free accelerators and then by free milli-cores.
-    std::set<std::pair<std::int64_t, std::uint32_t>> byAccelerators;
-    std::int64_t running = 0; // tasks of the service on all targets of the domain
+    std::set<std::pair<std::int64_t, std::uint32_t>> byFreeAccelerators;
+    std::int64_t runningTasks = 0; // tasks of the service on all targets of the domain
 };
 
 /** All targets that offer one service. */
@@ -43,8 +43,8 @@
     std::map<std::string, domain_pool> domains;
     resource_amounts capacity; // total of the eligible targets
     resource_amounts used; // by tasks of any service on the eligible targets
-    std::uint64_t releases = 0; // rises whenever capacity may have become free
-    std::int64_t targets = 0; // number of eligible targets
+    std::uint64_t releaseCount = 0; // rises whenever capacity may have become free
+    std::int64_t targetCount = 0; // number of eligible targets
 };
 
 /** Targets ordered by free resources within each service and failure domain, so that a decision
@@ -52,29 +52,29 @@
 */
 struct target_index
 {
-    std::vector<target_view> targets;
+    std::vector<target_entry> targets;
     std::unordered_map<std::string, std::uint32_t> byName;
-    std::vector<std::uint32_t> freeNumbers; // of removed targets, to be reused
+    std::vector<std::uint32_t> unusedNumbers; // of removed targets, to be reused
     std::unordered_map<std::string, service_pool> pools; // by service
     resource_amounts totalCapacity; // of the eligible targets
 };
 
 /** Adds a target or replaces a known one, whose usage and reservation stay. @return its number */
-std::uint32_t upsertTarget(target_index &index, const target_view &view);
+std::uint32_t upsertTarget(target_index &index, const target_entry &view);
 
 /** Removes a target on which nothing runs; its number may be reused. */
 void removeTarget(target_index &index, std::uint32_t target);
 
 /** Adds a task to a target's usage and to the running tasks of its service and failure domain. */
-void addUse(target_index &index, std::uint32_t target, const std::string &service,
-            const resource_amounts &need);
+void addUsage(target_index &index, std::uint32_t target, const std::string &service,
+              const resource_amounts &need);
 /** Removes a task that has ended. The release count of the target's pools rises. */
-void dropUse(target_index &index, std::uint32_t target, const std::string &service,
-             const resource_amounts &need);
+void removeUsage(target_index &index, std::uint32_t target, const std::string &service,
+                 const resource_amounts &need);
 
-/** Undoes an addUse() of the same decision; the release count of the pools stays. */
-void undoUse(target_index &index, std::uint32_t target, const std::string &service,
-             const resource_amounts &need);
+/** Undoes an addUsage() of the same decision; the release count of the pools stays. */
+void undoUsage(target_index &index, std::uint32_t target, const std::string &service,
+               const resource_amounts &need);
 
 /** Sets whether a target may get work. Targets that are not eligible do not count as capacity. */
 void setEligible(target_index &index, std::uint32_t target, bool isEligible);
@@ -83,7 +83,7 @@
 void setProbing(target_index &index, std::uint32_t target, bool isProbing);
 
 /** Reserves a target for a gang. @param ticket work id of the gang, or 0 to end the reservation */
-void setReserved(target_index &index, std::uint32_t target, std::uint64_t ticket);
+void setReservation(target_index &index, std::uint32_t target, std::uint64_t ticket);
 
 /** Finds a target for a task by best fit.
 
@@ -115,9 +115,9 @@
                   const resource_amounts &need);
 
 /** @return whether a target offers a service */
-bool offers(const target_view &target, const std::string &service);
+bool offers(const target_entry &target, const std::string &service);
 
 /** @return the free resources of a target */
-resource_amounts roomOf(const target_view &target);
+resource_amounts freeResources(const target_entry &target);
 
 } // namespace filbert
--- a/modules/filbert_policy/tests/scheduler_test.cpp
+++ b/modules/filbert_policy/tests/scheduler_test.cpp
@@ -13,14 +13,14 @@
 scheduler_state cellOf(int targets, resource_amounts capacity = {4'000, 4'000, 1, 4})
 {
     scheduler_state state;
-    state.settings.urgentReserve = 0;
+    state.settings.urgentReserveFraction = 0;
     for (int i = 0; i < targets; ++i) {
-        target_view view;
+        target_entry view;
         view.name = "t" + std::to_string(i);
         view.failureDomain = "d" + std::to_string(i % 3);
         view.capacity = capacity;
         view.services = {"s"};
-        setTarget(state, view, true);
+        updateTarget(state, view, true);
     }
     setTeam(state, "a", 1, unlimited);
     setTeam(state, "b", 3, unlimited);
@@ -31,17 +31,17 @@
                  resource_amounts need = small)
 {
     work_item item;
-    item.ticket = ticket;
+    item.workId = ticket;
     item.kind = kind;
     item.team = team;
     item.service = "s";
-    item.declared = need;
+    item.declaredNeed = need;
     item.isIdempotent = true;
     for (int i = 0; i < tasks; ++i) {
         item.tasks.push_back(i);
     }
     if (kind == work_class::Urgent) {
-        item.giveUpAt = {10'000};
+        item.startDeadline = {10'000};
     }
     return item;
 }
@@ -84,7 +84,7 @@
             const auto result = schedule(state, {now});
             std::map<std::uint64_t, int> started;
             for (const auto &placed : result.placements) {
-                ++started[placed.ticket];
+                ++started[placed.workId];
             }
             for (const auto &[which, count] : started) {
                 RC_ASSERT(!state.waiting.contains(which) || count == 0);
@@ -97,7 +97,7 @@
             std::sort(placements.begin(), placements.end());
             for (const auto id : placements) {
                 if (*rc::gen::inRange(0, 3) == 0) {
-                    noteResult(state, id, true, {now});
+                    recordTaskResult(state, id, true, {now});
                     releaseTask(state, id, {now});
                 }
             }
@@ -127,10 +127,10 @@
     addWork(state, workOf(100, work_class::Urgent, "a", 1), {0});
     const auto result = schedule(state, {1});
     REQUIRE(result.placements.size() == 4);
-    CHECK(result.placements[0].ticket == 100);
+    CHECK(result.placements[0].workId == 100);
     int ofB = 0;
     for (const auto &placed : result.placements) {
-        ofB += placed.ticket % 2 == 1 ? 1 : 0;
+        ofB += placed.workId % 2 == 1 ? 1 : 0;
     }
     CHECK(ofB == 3); // b has three times the share, and a has its urgent task
 }
@@ -147,7 +147,7 @@
     CHECK(schedule(state, {11}).stops.empty()); // not at once
     const auto result = schedule(state, {400});
     REQUIRE(result.stops.size() == 1);
-    CHECK(state.running.at(result.stops[0].placement).ticket == 2);
+    CHECK(state.running.at(result.stops[0].placementId).workId == 2);
     CHECK(schedule(state, {450}).stops.empty()); // once is enough
 }
 
@@ -162,7 +162,7 @@
     for (int i = 0; i < 6; ++i, now += 100) {
         schedule(state, {now});
         for (const auto &[id, task] : state.running) {
-            if (task.ticket == 1) {
+            if (task.workId == 1) {
                 releaseTask(state, id, {now});
                 break;
             }
@@ -171,7 +171,7 @@
     const auto result = schedule(state, {now});
     std::size_t ofGang = 0;
     for (const auto &[id, task] : state.running) {
-        ofGang += task.ticket == 2 ? 1 : 0;
+        ofGang += task.workId == 2 ? 1 : 0;
     }
     CHECK(ofGang == 6);
     CHECK(result.stops.empty());
@@ -184,15 +184,15 @@
         addWork(state, workOf(i, work_class::Batch, "a", 1), {0});
         const auto result = schedule(state, {1});
         REQUIRE(result.placements.size() == 1);
-        noteResult(state, result.placements[0].placement, false, {2});
-        releaseTask(state, result.placements[0].placement, {2});
+        recordTaskResult(state, result.placements[0].placementId, false, {2});
+        releaseTask(state, result.placements[0].placementId, {2});
     }
     addWork(state, workOf(9, work_class::Batch, "a", 4), {3});
     CHECK(schedule(state, {4}).placements.empty());
-    reviewQuarantines(state, {31'000});
+    endExpiredQuarantines(state, {31'000});
     const auto probe = schedule(state, {31'001});
     REQUIRE(probe.placements.size() == 1);
-    noteResult(state, probe.placements[0].placement, true, {31'002});
+    recordTaskResult(state, probe.placements[0].placementId, true, {31'002});
     CHECK(schedule(state, {31'003}).placements.size() == 3);
 }
 
@@ -204,12 +204,12 @@
         addWork(state, workOf(i, work_class::Batch, "a", 1), {0});
     }
     for (std::uint64_t i = 1; i <= 50'000; ++i) {
-        dropWork(state, i);
+        removeWork(state, i);
     }
     addWork(state, workOf(100'000, work_class::Urgent, "b", 1), {1});
     const auto result = schedule(state, {2});
     REQUIRE(result.placements.size() == 1);
-    CHECK(result.placements[0].ticket == 100'000);
+    CHECK(result.placements[0].workId == 100'000);
     CHECK(countWaiting(state, work_class::Batch) == 0);
 }
 
@@ -229,24 +229,24 @@
           "one moment")
 {
     auto state = cellOf(1);
-    state.nextPlacement = 100;
+    state.nextPlacementId = 100;
     const auto report = [&](std::uint64_t placement, const std::string &gateway) {
-        noteUnreachable(state, {"t0", placement, gateway, 2}, {1'000});
+        recordUnreachable(state, {"t0", placement, gateway, 2}, {1'000});
         return state.health["t0"].isQuarantined;
     };
     for (std::uint64_t placement = 100; placement < 120; ++placement) {
-        state.nextPlacement = placement + 1;
+        state.nextPlacementId = placement + 1;
         CHECK_FALSE(report(placement, "g1")); // that gateway may be cut off itself
     }
     CHECK_FALSE(report(119, "g2"));
     for (std::uint64_t placement = 100; placement < 120; ++placement) {
         CHECK_FALSE(report(placement, "g2")); // lost in the same moment as the last one
     }
-    state.nextPlacement = 121;
+    state.nextPlacementId = 121;
     CHECK_FALSE(report(120, "g1"));
-    state.nextPlacement = 122;
+    state.nextPlacementId = 122;
     CHECK(report(121, "g2"));
-    forgetUnreachable(state, "t0");
+    clearUnreachable(state, "t0");
     CHECK_FALSE(state.health["t0"].isQuarantined);
 }
 
@@ -254,13 +254,13 @@
 {
     auto state = cellOf(2);
     auto item = workOf(1, work_class::Urgent, "a", 1);
-    item.avoid = {"t0"};
+    item.excludedTargets = {"t0"};
     addWork(state, std::move(item), {0});
     auto result = schedule(state, {0});
     REQUIRE(result.placements.size() == 1);
     CHECK(state.index.targets[result.placements[0].target].name == "t1");
     item = workOf(2, work_class::Urgent, "a", 1);
-    item.avoid = {"t0", "t1"};
+    item.excludedTargets = {"t0", "t1"};
     addWork(state, std::move(item), {0});
     CHECK(schedule(state, {0}).placements.size() == 1);
 }
@@ -275,10 +275,10 @@
         addWork(state, workOf(ticket, work_class::Batch, "a", 1), {0});
     }
     for (std::uint64_t ticket = 2; ticket <= wave; ++ticket) {
-        dropWork(state, ticket);
+        removeWork(state, ticket);
     }
     schedule(state, {1});
-    const auto &line = state.teams["a"].waiting[static_cast<std::size_t>(work_class::Batch)];
+    const auto &line = state.teams["a"].waitingIds[static_cast<std::size_t>(work_class::Batch)];
     CHECK(state.teams["a"].waitingCount[static_cast<std::size_t>(work_class::Batch)] == 1);
     CHECK(line.size() < 1'000);
     CHECK(line.front() == 1); // what waits keeps its place
--- a/modules/filbert_replication/elections.cpp
+++ b/modules/filbert_replication/elections.cpp
@@ -37,7 +37,7 @@
 {
     int voters = 0;
     int granted = 0;
-    for (const auto &member : state.members.members()) {
+    for (const auto &member : state.membership.members()) {
         if (member.learner()) {
             continue;
         }
@@ -51,7 +51,7 @@
 void askForVotes(const replicated_log_state &state, bool isPreVote, bool isHandOver,
                  replication_effects *effects)
 {
-    for (const auto &member : state.members.members()) {
+    for (const auto &member : state.membership.members()) {
         if (member.identity() == state.self || member.learner()) {
             continue;
         }
@@ -64,7 +64,7 @@
         request->set_last_index(lastIndex(state));
         request->set_last_term(lastTerm(state));
         request->set_hand_over(isHandOver);
-        effects->send.push_back(message);
+        effects->messagesAfterSync.push_back(message);
     }
 }
 
@@ -72,15 +72,15 @@
 {
     state.role = replica_role::Leader;
     state.leader = state.self;
-    state.followers.clear();
-    state.round = 0;
-    state.roundsSent.clear();
-    state.leaseUntil = {};
-    state.lastQuorum = now;
-    state.handOverUntil.reset();
-    for (const auto &member : state.members.members()) {
+    state.followerProgress.clear();
+    state.heartbeatRound = 0;
+    state.roundSendTimes.clear();
+    state.leaseExpiresAt = {};
+    state.lastQuorumContactAt = now;
+    state.transferDeadline.reset();
+    for (const auto &member : state.membership.members()) {
         if (member.identity() != state.self) {
-            state.followers[member.identity()].next = lastIndex(state) + 1;
+            state.followerProgress[member.identity()].nextIndex = lastIndex(state) + 1;
         }
     }
     effects->hasRoleChanged = true;
@@ -92,14 +92,14 @@
 
 bool hasHeardLeader(const replicated_log_state &state, time_point now)
 {
-    return now - state.lastHeard < state.settings.electionTimeout;
+    return now - state.lastLeaderContactAt < state.settings.electionTimeout;
 }
 
 } // namespace
 
 bool isVoter(const replicated_log_state &state, const std::string &identity)
 {
-    const auto *member = findMember(state.members, identity);
+    const auto *member = findMember(state.membership, identity);
     return member != nullptr && !member->learner();
 }
 
@@ -107,14 +107,14 @@
 {
     return isVoter(state, state.self)
         && std::none_of(
-               state.members.members().begin(), state.members.members().end(),
+               state.membership.members().begin(), state.membership.members().end(),
                [&](const auto &each) { return !each.learner() && each.identity() != state.self; });
 }
 
 void resetElection(replicated_log_state &state, time_point now)
 {
     const auto timeout = state.settings.electionTimeout;
-    state.electionAt = now + timeout + randomSpan(state, {timeout.count / spreadPart});
+    state.electionDeadline = now + timeout + randomSpan(state, {timeout.count / spreadPart});
 }
 
 void becomeFollower(replicated_log_state &state, std::uint64_t term, const std::string &leader,
@@ -130,11 +130,11 @@
     if (state.role == replica_role::Leader) {
         // The own lease may still hold after stepping down; until it has ended, this member must
         // not vote for another leader.
-        state.lastHeard = now;
+        state.lastLeaderContactAt = now;
     }
     state.role = replica_role::Follower;
     state.leader = leader;
-    state.handOverUntil.reset();
+    state.transferDeadline.reset();
     state.votes.clear();
     resetElection(state, now);
 }
@@ -146,7 +146,7 @@
         return;
     }
     const milliseconds pause {state.settings.electionTimeout.count / retryPart};
-    state.electionAt = now + pause + randomSpan(state, pause);
+    state.electionDeadline = now + pause + randomSpan(state, pause);
     if (isSoleVoter(state)) {
         startElection(state, now, false, effects);
         return;
@@ -173,8 +173,9 @@
     if (hasQuorum(state)) {
         becomeLeader(state, now, effects);
         // The new term is not on disk yet, so no message may be sent before the sync.
-        std::move(effects->early.begin(), effects->early.end(), std::back_inserter(effects->send));
-        effects->early.clear();
+        std::move(effects->messagesBeforeSync.begin(), effects->messagesBeforeSync.end(),
+                  std::back_inserter(effects->messagesAfterSync));
+        effects->messagesBeforeSync.clear();
         return;
     }
     askForVotes(state, false, isHandOver, effects);
@@ -205,7 +206,7 @@
     if (request.pre_vote()) {
         reply->set_granted(request.term() > state.term && isUpToDate && !isLeaderAlive);
         reply->set_term(reply->granted() ? request.term() : state.term);
-        effects->send.push_back(answer);
+        effects->messagesAfterSync.push_back(answer);
         return;
     }
     const bool isFree = state.votedFor.empty() || state.votedFor == from;
@@ -216,7 +217,7 @@
         resetElection(state, now);
     }
     reply->set_term(state.term);
-    effects->send.push_back(answer);
+    effects->messagesAfterSync.push_back(answer);
 }
 
 void takeVoteReply(replicated_log_state &state, const std::string &from,
--- a/modules/filbert_replication/formation.h
+++ b/modules/filbert_replication/formation.h
@@ -10,43 +10,43 @@
 namespace filbert {
 
 /** Limits for the automatic changes of the membership. */
-struct formation_settings
+struct membership_settings
 {
     int faultTolerance = 1; // members that may fail at the same time
     // Time without contact after which a member may be removed. Longer than an election and a short
     // pause of a member, and far below the 4 s within which a lost disk must be replaced.
-    milliseconds silentSpan {1'200};
-    milliseconds joinSpan {1'000}; // a process that has stopped requesting is not added
+    milliseconds silenceTimeout {1'200};
+    milliseconds joinRequestTimeout {1'000}; // a process that has stopped requesting is not added
 };
 
 /** A process that requests to become a member. */
-struct join_candidate
+struct pending_join
 {
-    messages::member self;
-    time_point askedAt;
+    messages::member member;
+    time_point lastRequestAt;
 };
 
 /** What the leader bases its decision about the membership on. */
-struct formation_view
+struct membership_view
 {
-    const messages::membership *members = nullptr;
+    const messages::membership *membership = nullptr;
     std::string self; // the leader's identity
-    std::vector<join_candidate> candidates;
-    std::map<std::string, time_point> heardAt; // by identity; missing = none in this term
+    std::vector<pending_join> pendingJoins;
+    std::map<std::string, time_point> lastContactAt; // by identity; missing = none in this term
     time_point leadingSince;
 };
 
 /** A change that the leader should make to the membership now. */
-struct formation_step
+struct membership_change
 {
     bool add = false;
-    messages::member which;
+    messages::member member;
     std::string reason;
 };
 
 /** @return the number of voters of which a majority remains when as many members fail as the
     settings tolerate */
-int wantedVoters(const formation_settings &settings);
+int desiredVoterCount(const membership_settings &settings);
 
 /** Decides on the next change of the membership; there is only one change at a time.
 
@@ -57,8 +57,9 @@
 
     @return the change, or nothing if none is needed
 */
-std::optional<formation_step> nextFormationStep(const formation_view &view,
-                                                const formation_settings &settings, time_point now);
+std::optional<membership_change> nextMembershipChange(const membership_view &view,
+                                                      const membership_settings &settings,
+                                                      time_point now);
 
 /** Whether this process is the one that bootstraps the log. All processes with the same
     seeds choose the same one.
@@ -66,6 +67,6 @@
     @param seeds  the addresses of all processes, as configured for the first start
     @param own    the address of this process among them
 */
-bool isFounder(const std::vector<std::string> &seeds, const std::string &own);
+bool isBootstrapMember(const std::vector<std::string> &seeds, const std::string &own);
 
 } // namespace filbert
--- a/modules/filbert_replication/log_access.cpp
+++ b/modules/filbert_replication/log_access.cpp
@@ -12,30 +12,31 @@
     if (entry.kind() != messages::MEMBERSHIP) {
         return;
     }
-    FILBERT_INVARIANT(state.members.ParseFromString(entry.payload()),
+    FILBERT_INVARIANT(state.membership.ParseFromString(entry.payload()),
                       "the payload of a membership entry can be parsed");
-    state.membersIndex = entry.index();
-    std::erase_if(state.followers, [&](const auto &each) {
-        return findMember(state.members, each.first) == nullptr;
+    state.membershipIndex = entry.index();
+    std::erase_if(state.followerProgress, [&](const auto &each) {
+        return findMember(state.membership, each.first) == nullptr;
     });
     if (state.role != replica_role::Leader) {
         return;
     }
-    for (const auto &member : state.members.members()) {
-        if (member.identity() != state.self && !state.followers.contains(member.identity())) {
-            state.followers[member.identity()].next = entry.index();
+    for (const auto &member : state.membership.members()) {
+        if (member.identity() != state.self
+            && !state.followerProgress.contains(member.identity())) {
+            state.followerProgress[member.identity()].nextIndex = entry.index();
         }
     }
 }
 
 void truncateFrom(replicated_log_state &state, std::uint64_t index)
 {
-    FILBERT_INVARIANT(index > state.commit, "a committed entry is never removed");
+    FILBERT_INVARIANT(index > state.commitIndex, "a committed entry is never removed");
     while (!state.entries.empty() && state.entries.back().index() >= index) {
         state.entries.pop_back();
     }
-    state.durable = std::min(state.durable, lastIndex(state));
-    if (state.membersIndex >= index) {
+    state.durableIndex = std::min(state.durableIndex, lastIndex(state));
+    if (state.membershipIndex >= index) {
         restoreMembers(state);
     }
 }
@@ -89,7 +90,7 @@
     entry.set_kind(kind);
     entry.set_payload(std::move(payload));
     state.entries.push_back(entry);
-    effects->persist.push_back(entry);
+    effects->entriesToPersist.push_back(entry);
     effects->mustPersist = true;
     takeMembership(state, entry);
 }
@@ -106,12 +107,12 @@
     }
     if (held) {
         truncateFrom(state, entry.index());
-        std::erase_if(effects->persist,
+        std::erase_if(effects->entriesToPersist,
                       [&](const auto &each) { return each.index() >= entry.index(); });
     }
     FILBERT_INVARIANT(entry.index() == lastIndex(state) + 1, "the log has no gaps");
     state.entries.push_back(entry);
-    effects->persist.push_back(entry);
+    effects->entriesToPersist.push_back(entry);
     effects->mustPersist = true;
     takeMembership(state, entry);
 }
@@ -119,11 +120,11 @@
 void commitTo(replicated_log_state &state, std::uint64_t index, replication_effects *effects)
 {
     const auto target = std::min(index, lastIndex(state));
-    FILBERT_INVARIANT(target >= state.commit, "the commit index never decreases");
-    state.commit = target;
-    while (state.applied < state.commit) {
-        ++state.applied;
-        effects->committed.push_back(entryAt(state, state.applied));
+    FILBERT_INVARIANT(target >= state.commitIndex, "the commit index never decreases");
+    state.commitIndex = target;
+    while (state.appliedIndex < state.commitIndex) {
+        ++state.appliedIndex;
+        effects->entriesToApply.push_back(entryAt(state, state.appliedIndex));
     }
 }
 
@@ -131,7 +132,7 @@
 {
     auto hint = std::min(index > 0 ? index - 1 : 0, lastIndex(state));
     const auto term = termAt(state, std::min(index, lastIndex(state)));
-    while (hint > state.commit && term && termAt(state, hint) == term) {
+    while (hint > state.commitIndex && term && termAt(state, hint) == term) {
         --hint;
     }
     return hint;
@@ -140,28 +141,28 @@
 void installIncoming(replicated_log_state &state, replication_effects *effects)
 {
     const bool hasRightTail =
-        termAt(state, state.incomingHeader.index()) == state.incomingHeader.term();
+        termAt(state, state.incomingSnapshotHeader.index()) == state.incomingSnapshotHeader.term();
     if (hasRightTail) {
         // The entries after the snapshot may have been acknowledged, so that a quorum depends on
         // them. They must be kept (Raft paper, section 7).
         while (!state.entries.empty()
-               && state.entries.front().index() <= state.incomingHeader.index()) {
+               && state.entries.front().index() <= state.incomingSnapshotHeader.index()) {
             state.entries.pop_front();
         }
     } else {
         state.entries.clear();
-        state.durable = state.incomingHeader.index();
-        effects->persist.clear();
-        effects->mustDropTail = true; // otherwise a restart would read it after the snapshot
-    }
-    state.snapshot = state.incomingHeader;
-    state.snapshotData = std::make_shared<const std::string>(std::move(state.incoming));
-    state.incoming.clear();
-    state.incomingHeader.Clear();
-    state.commit = state.snapshot.index();
-    state.applied = state.snapshot.index();
+        state.durableIndex = state.incomingSnapshotHeader.index();
+        effects->entriesToPersist.clear();
+        effects->mustTruncateTail = true; // otherwise a restart would read it after the snapshot
+    }
+    state.snapshot = state.incomingSnapshotHeader;
+    state.snapshotData = std::make_shared<const std::string>(std::move(state.incomingSnapshot));
+    state.incomingSnapshot.clear();
+    state.incomingSnapshotHeader.Clear();
+    state.commitIndex = state.snapshot.index();
+    state.appliedIndex = state.snapshot.index();
     state.digestIndex = 0;
-    effects->committed.clear();
+    effects->entriesToApply.clear();
     effects->mustPersist = true;
     effects->mustInstall = true;
     restoreMembers(state);
@@ -169,8 +170,8 @@
 
 void restoreMembers(replicated_log_state &state)
 {
-    state.members = state.snapshot.members();
-    state.membersIndex = state.snapshot.index();
+    state.membership = state.snapshot.members();
+    state.membershipIndex = state.snapshot.index();
     for (const auto &entry : state.entries) {
         takeMembership(state, entry);
     }
--- a/modules/filbert_replication/log_effects.cpp
+++ b/modules/filbert_replication/log_effects.cpp
@@ -6,32 +6,32 @@
                                replication_effects *effects)
 {
     if (effects->mustInstall) {
-        if (effects->mustDropTail) {
-            if (const auto error = store.dropAfter(log.snapshot.index())) {
+        if (effects->mustTruncateTail) {
+            if (const auto error = store.truncateAfter(log.snapshot.index())) {
                 return error;
             }
         }
         if (const auto error = store.saveSnapshot(log.snapshot, *log.snapshotData)) {
             return error;
         }
-        effects->mustDropTail = false;
+        effects->mustTruncateTail = false;
     }
     if (!effects->mustPersist) {
         return {};
     }
-    if (const auto error = store.append(log.term, log.votedFor, effects->persist)) {
+    if (const auto error = store.append(log.term, log.votedFor, effects->entriesToPersist)) {
         return error;
     }
     effects->mustPersist = false;
-    effects->persist.clear();
-    stepPersisted(log, lastIndex(log), now, effects);
+    effects->entriesToPersist.clear();
+    handlePersisted(log, lastIndex(log), now, effects);
     return {};
 }
 
-messages::member addresseeOf(const replicated_log_state &log,
+messages::member recipientOf(const replicated_log_state &log,
                              const messages::replication_message &message)
 {
-    if (const auto *member = findMember(log.members, message.to())) {
+    if (const auto *member = findMember(log.membership, message.to())) {
         return *member;
     }
     messages::member unknown;
--- a/modules/filbert_replication/log_effects.h
+++ b/modules/filbert_replication/log_effects.h
@@ -18,7 +18,7 @@
 
 /** @return the member that a message is for; only its identity is set if this member's log does not
     hold the membership that contains it yet */
-messages::member addresseeOf(const replicated_log_state &log,
+messages::member recipientOf(const replicated_log_state &log,
                              const messages::replication_message &message);
 
 } // namespace filbert
--- a/modules/filbert_replication/log_member.cpp
+++ b/modules/filbert_replication/log_member.cpp
@@ -21,16 +21,16 @@
     }
 }
 
-void log_member::takeMessage(const messages::replication_message &message, time_point now)
+void log_member::handleMessage(const messages::replication_message &message, time_point now)
 {
-    heardAt[message.from()] = now;
-    stepMessage(log, message, now, &effects);
+    lastContactAt[message.from()] = now;
+    handleReplicationMessage(log, message, now, &effects);
 }
 
-void log_member::takeTime(time_point now)
+void log_member::tick(time_point now)
 {
     const auto before = log.role;
-    stepTime(log, now, &effects);
+    tickLog(log, now, &effects);
     if (before == replica_role::Leader && log.role != replica_role::Leader) {
         log_line {"leadership_lost"}
             .with("term", log.term)
@@ -45,55 +45,56 @@
     return error;
 }
 
-std::error_code log_member::change(bool add, const messages::member &which, time_point now)
+std::error_code log_member::proposeMembershipChange(bool add, const messages::member &which,
+                                                    time_point now)
 {
     return changeMembership(log, add, which, now, &effects);
 }
 
-void log_member::handOverLeadership(time_point now)
+void log_member::transferLeadership(time_point now)
 {
-    if (log.role == replica_role::Leader && !log.handOverUntil) {
-        handOver(log, now, &effects);
+    if (log.role == replica_role::Leader && !log.transferDeadline) {
+        startLeadershipTransfer(log, now, &effects);
     }
 }
 
 void log_member::sendAll(std::vector<messages::replication_message> *messages)
 {
     for (const auto &message : std::exchange(*messages, {})) {
-        hooks.send(addresseeOf(log, message), message);
+        hooks.send(recipientOf(log, message), message);
     }
 }
 
 std::error_code log_member::compact(time_point now)
 {
-    const auto since = log.applied - log.snapshot.index();
-    const bool isDue = since > 0 && now >= snapshotNotBefore && effects.committed.empty()
+    const auto since = log.appliedIndex - log.snapshot.index();
+    const bool isDue = since > 0 && now >= snapshotNotBefore && effects.entriesToApply.empty()
         && (since >= snapshots.entries || store.logBytes() >= snapshots.bytes);
     if (!isDue) {
         return {};
     }
-    auto data = hooks.write();
-    const auto error = store.saveSnapshot(snapshotHeaderAt(log, log.applied), data);
+    auto data = hooks.makeSnapshot();
+    const auto error = store.saveSnapshot(snapshotHeaderAt(log, log.appliedIndex), data);
     if (error == error_kind::DiskFull) {
-        snapshotNotBefore = now + snapshots.pause;
+        snapshotNotBefore = now + snapshots.retryDelay;
         log_line {"snapshot_failed", log_line::severity::Warning}.with("error", error.message());
         return {};
     }
     if (error) {
         return error;
     }
-    log_line {"snapshot_taken"}.with("index", log.applied).with("bytes", data.size());
-    compactLog(log, log.applied, std::move(data));
+    log_line {"snapshot_taken"}.with("index", log.appliedIndex).with("bytes", data.size());
+    compactLog(log, log.appliedIndex, std::move(data));
     return {};
 }
 
 std::size_t log_member::applyCommitted(std::size_t most)
 {
-    const auto count = std::min(most, effects.committed.size());
-    const auto end = effects.committed.begin() + static_cast<std::ptrdiff_t>(count);
+    const auto count = std::min(most, effects.entriesToApply.size());
+    const auto end = effects.entriesToApply.begin() + static_cast<std::ptrdiff_t>(count);
     const std::vector<messages::log_entry> entries {
-        std::make_move_iterator(effects.committed.begin()), std::make_move_iterator(end)};
-    effects.committed.erase(effects.committed.begin(), end);
+        std::make_move_iterator(effects.entriesToApply.begin()), std::make_move_iterator(end)};
+    effects.entriesToApply.erase(effects.entriesToApply.begin(), end);
     for (const auto &entry : entries) {
         hooks.apply(entry);
     }
@@ -102,10 +103,11 @@
 
 std::error_code log_member::flush(time_point now)
 {
-    std::size_t toApply = entriesPerFlush;
-    while (effects.mustPersist || effects.mustInstall || !effects.early.empty()
-           || !effects.send.empty() || (toApply > 0 && !effects.committed.empty())) {
-        sendAll(&effects.early);
+    std::size_t toApply = maxEntriesPerFlush;
+    while (effects.mustPersist || effects.mustInstall || !effects.messagesBeforeSync.empty()
+           || !effects.messagesAfterSync.empty()
+           || (toApply > 0 && !effects.entriesToApply.empty())) {
+        sendAll(&effects.messagesBeforeSync);
         const auto error = persistEffects(log, store, now, &effects);
         if (error == error_kind::DiskFull) {
             // Nothing was written, so the messages that depend on it must not be sent. The write is
@@ -113,14 +115,14 @@
             if (!std::exchange(hasFullDisk, true)) {
                 log_line {"disk_full", log_line::severity::Error}.with("role", roleName(log.role));
             }
-            effects.send.clear();
+            effects.messagesAfterSync.clear();
             break;
         }
         if (error) {
             return error;
         }
         hasFullDisk = false;
-        sendAll(&effects.send);
+        sendAll(&effects.messagesAfterSync);
         if (std::exchange(effects.mustInstall, false)) {
             hooks.restore(*log.snapshotData);
             log_line {"snapshot_installed"}.with("index", log.snapshot.index());
@@ -132,19 +134,19 @@
 
 bool log_member::isServing(time_point now) const
 {
-    return isReadyLeader(log) && hasLease(log, now) && !log.handOverUntil;
+    return isReadyLeader(log) && hasLease(log, now) && !log.transferDeadline;
 }
 
-bool log_member::isSettled() const
+bool log_member::hasAppliedAll() const
 {
-    return isReadyLeader(log) && log.applied == lastIndex(log) && effects.committed.empty()
-        && !effects.mustInstall;
+    return isReadyLeader(log) && log.appliedIndex == lastIndex(log)
+        && effects.entriesToApply.empty() && !effects.mustInstall;
 }
 
-time_point log_member::heardFrom(const std::string &identity) const
+time_point log_member::lastContactWith(const std::string &identity) const
 {
-    const auto found = heardAt.find(identity);
-    return found == heardAt.end() ? time_point {} : found->second;
+    const auto found = lastContactAt.find(identity);
+    return found == lastContactAt.end() ? time_point {} : found->second;
 }
 
 } // namespace filbert
--- a/modules/filbert_replication/log_member.h
+++ b/modules/filbert_replication/log_member.h
@@ -17,7 +17,7 @@
     /** Replaces the replicated state by a snapshot. */
     std::function<void(const std::string &)> restore;
     /** @return the serialized replicated state */
-    std::function<std::string()> write;
+    std::function<std::string()> makeSnapshot;
 };
 
 /** When a log_member takes a snapshot. */
@@ -25,13 +25,13 @@
 {
     std::uint64_t entries = 1'500; // of 20 commands each, read back in 250 ms at a restart
     std::uint64_t bytes = 24 << 20; // of the log; twice this and a snapshot fit a disk of 128 MB
-    milliseconds pause {10'000}; // after a snapshot that found the disk full
+    milliseconds retryDelay {10'000}; // after a snapshot that found the disk full
 };
 
 /** Maximum number of entries that one flush applies, which is about 30 ms of work. A member that
     has many entries to apply answers the other members between flushes; otherwise a leader would
     lose its quorum after a restart of all members. */
-constexpr std::size_t entriesPerFlush = 256;
+constexpr std::size_t maxEntriesPerFlush = 256;
 
 /** One member of a replicated log with its disk.
 
@@ -57,10 +57,10 @@
                const stored_state &stored, std::uint64_t seed, log_store &store,
                log_member_hooks hooks, time_point now);
 
-    void takeMessage(const messages::replication_message &message, time_point now);
+    void handleMessage(const messages::replication_message &message, time_point now);
 
     /** Handles all timeouts; call it every 10 to 20 ms. */
-    void takeTime(time_point now);
+    void tick(time_point now);
 
     /** Appends an entry to the log, if this member leads.
 
@@ -70,10 +70,11 @@
     std::error_code propose(std::string payload, time_point now, std::uint64_t *index);
 
     /** Adds or removes a member. @return as filbert::changeMembership() */
-    std::error_code change(bool add, const messages::member &which, time_point now);
+    std::error_code proposeMembershipChange(bool add, const messages::member &which,
+                                            time_point now);
 
     /** Transfers leadership to another member, as before a planned stop. */
-    void handOverLeadership(time_point now);
+    void transferLeadership(time_point now);
 
     /** Writes and syncs, sends messages, applies committed entries, and takes a snapshot if one is
         due. A full disk is no error: the write is repeated at the next flush.
@@ -88,13 +89,13 @@
     /** Whether this member leads and has applied every entry of its log. A committed entry may
         still wait to be applied: a leader that made decisions before that would not know what
         runs. */
-    bool isSettled() const;
+    bool hasAppliedAll() const;
 
     /** @return when the last message came from a member, or a zero time if none did */
-    time_point heardFrom(const std::string &identity) const;
+    time_point lastContactWith(const std::string &identity) const;
 
     bool isDiskFull() const { return hasFullDisk; }
-    const replicated_log_state &view() const { return log; }
+    const replicated_log_state &state() const { return log; }
 
 private:
     void sendAll(std::vector<messages::replication_message> *messages);
@@ -106,7 +107,7 @@
     snapshot_settings snapshots;
     log_store &store;
     log_member_hooks hooks;
-    std::map<std::string, time_point> heardAt;
+    std::map<std::string, time_point> lastContactAt;
     time_point snapshotNotBefore;
     bool hasFullDisk = false;
 };
--- a/modules/filbert_replication/replicated_log.cpp
+++ b/modules/filbert_replication/replicated_log.cpp
@@ -19,18 +19,18 @@
 void promoteCaughtUpLearner(replicated_log_state &state, time_point now,
                             replication_effects *effects)
 {
-    if (state.membersIndex > state.commit || !isReadyLeader(state)) {
+    if (state.membershipIndex > state.commitIndex || !isReadyLeader(state)) {
         return;
     }
-    for (int i = 0; i < state.members.members_size(); ++i) {
-        const auto &member = state.members.members(i);
-        const auto progress = state.followers.find(member.identity());
-        if (!member.learner() || progress == state.followers.end()
-            || progress->second.match + learnerCatchUpEntries < lastIndex(state)
-            || progress->second.match == 0) {
+    for (int i = 0; i < state.membership.members_size(); ++i) {
+        const auto &member = state.membership.members(i);
+        const auto progress = state.followerProgress.find(member.identity());
+        if (!member.learner() || progress == state.followerProgress.end()
+            || progress->second.matchIndex + learnerCatchUpEntries < lastIndex(state)
+            || progress->second.matchIndex == 0) {
             continue;
         }
-        auto next = state.members;
+        auto next = state.membership;
         next.mutable_members(i)->set_learner(false);
         appendOwn(state, messages::MEMBERSHIP, next.SerializeAsString(), effects);
         replicate(state, now, effects);
@@ -47,14 +47,14 @@
                              std::uint64_t follower_progress::*field)
 {
     std::vector<std::uint64_t> values;
-    for (const auto &member : state.members.members()) {
+    for (const auto &member : state.membership.members()) {
         if (member.learner()) {
             continue;
         }
-        const auto found = state.followers.find(member.identity());
+        const auto found = state.followerProgress.find(member.identity());
         const bool isSelf = member.identity() == state.self;
-        values.push_back(isSelf ? own
-                                : (found == state.followers.end() ? 0 : found->second.*field));
+        values.push_back(
+            isSelf ? own : (found == state.followerProgress.end() ? 0 : found->second.*field));
     }
     std::sort(values.begin(), values.end(), std::greater<> {});
     return values.empty() ? 0 : values[values.size() / 2];
@@ -62,34 +62,34 @@
 
 void advanceCommit(replicated_log_state &state, time_point now, replication_effects *effects)
 {
-    const auto agreed = agreedByQuorum(state, state.durable, &follower_progress::match);
+    const auto agreed = agreedByQuorum(state, state.durableIndex, &follower_progress::matchIndex);
     // Only an entry of the leader's own term is committed by counting (Raft paper, section 5.4.2).
-    if (agreed <= state.commit || termAt(state, agreed) != state.term) {
+    if (agreed <= state.commitIndex || termAt(state, agreed) != state.term) {
         return;
     }
     commitTo(state, agreed, effects);
     promoteCaughtUpLearner(state, now, effects);
-    const auto *self = findMember(state.members, state.self);
-    if (self == nullptr && state.membersIndex <= state.commit) {
+    const auto *self = findMember(state.membership, state.self);
+    if (self == nullptr && state.membershipIndex <= state.commitIndex) {
         becomeFollower(state, state.term, {}, now, effects); // this member was removed
     }
 }
 
 void takeQuorumRound(replicated_log_state &state)
 {
-    const auto sent =
-        state.roundsSent.find(agreedByQuorum(state, state.round, &follower_progress::ackedRound));
-    if (sent == state.roundsSent.end()) {
+    const auto sent = state.roundSendTimes.find(
+        agreedByQuorum(state, state.heartbeatRound, &follower_progress::ackedRound));
+    if (sent == state.roundSendTimes.end()) {
         return;
     }
     // Followers grant no vote for an election timeout after a message from the leader. Their clocks
     // may run fast by the margin that withClockRateMargin() adds, so the lease is that much
     // shorter.
     const auto timeout = state.settings.electionTimeout;
-    const auto span = timeout - (clockRateMargin(timeout) - timeout);
-    state.leaseUntil = std::max(state.leaseUntil, sent->second + span);
-    state.lastQuorum = std::max(state.lastQuorum, sent->second);
-    state.roundsSent.erase(state.roundsSent.begin(), sent);
+    const auto span = timeout - (withClockRateMargin(timeout) - timeout);
+    state.leaseExpiresAt = std::max(state.leaseExpiresAt, sent->second + span);
+    state.lastQuorumContactAt = std::max(state.lastQuorumContactAt, sent->second);
+    state.roundSendTimes.erase(state.roundSendTimes.begin(), sent);
 }
 
 /** Moves the next entry to send back to where the logs may match.
@@ -99,21 +99,22 @@
 bool takeRefusal(const replicated_log_state &state, const std::string &from,
                  const messages::append_reply &reply, follower_progress *progress)
 {
-    const auto next = std::max(progress->match + 1, std::min(progress->next, reply.match() + 1));
-    const bool hasMoved = next != progress->next;
+    const auto next =
+        std::max(progress->matchIndex + 1, std::min(progress->nextIndex, reply.match() + 1));
+    const bool hasMoved = next != progress->nextIndex;
     progress->isProbing = true;
-    progress->next = next;
+    progress->nextIndex = next;
     // A reply from a later round than the last rejection answers a probe at this entry; others
     // answer messages that were sent before.
-    const bool isOfProbe = reply.round() > progress->refusedRound;
-    progress->refusedRound = state.round;
+    const bool isOfProbe = reply.round() > progress->rejectedRound;
+    progress->rejectedRound = state.heartbeatRound;
     if (hasMoved || !isOfProbe) {
         return hasMoved;
     }
-    if (++progress->refusals == refusalsOfLostEntries) {
+    if (++progress->rejections == refusalsOfLostEntries) {
         log_line {"member_lost_entries", log_line::severity::Error}
             .with("member", from)
-            .with("acknowledged", progress->match)
+            .with("acknowledged", progress->matchIndex)
             .with("held", reply.match());
     }
     return false;
@@ -123,23 +124,23 @@
                      const messages::append_reply &reply, time_point now,
                      replication_effects *effects)
 {
-    const auto found = state.followers.find(from);
+    const auto found = state.followerProgress.find(from);
     if (state.role != replica_role::Leader || reply.term() != state.term
-        || found == state.followers.end()) {
+        || found == state.followerProgress.end()) {
         return;
     }
     auto &progress = found->second;
     progress.ackedRound = std::max(progress.ackedRound, reply.round());
-    progress.isWaiting = false;
+    progress.isAwaitingReply = false;
     takeQuorumRound(state);
     if (reply.accepted()) {
         FILBERT_INVARIANT(reply.match() <= lastIndex(state),
                           "a follower acknowledges no entry that its leader lacks");
-        progress.match = std::max(progress.match, reply.match());
-        progress.next = std::max(progress.next, progress.match + 1);
+        progress.matchIndex = std::max(progress.matchIndex, reply.match());
+        progress.nextIndex = std::max(progress.nextIndex, progress.matchIndex + 1);
         progress.isProbing = false;
-        progress.isTakingSnapshot = false;
-        progress.refusals = 0;
+        progress.isReceivingSnapshot = false;
+        progress.rejections = 0;
     } else if (!takeRefusal(state, from, reply, &progress)) {
         return; // the next heartbeat probes again; a probe for each rejection would loop forever
     }
@@ -149,7 +150,7 @@
     }
     promoteCaughtUpLearner(state, now, effects);
     continueHandOver(state, from, effects);
-    if (progress.next <= lastIndex(state)) {
+    if (progress.nextIndex <= lastIndex(state)) {
         sendAppend(state, from, progress, now, effects);
     }
 }
@@ -158,19 +159,19 @@
                        const messages::snapshot_reply &reply, time_point now,
                        replication_effects *effects)
 {
-    const auto found = state.followers.find(from);
+    const auto found = state.followerProgress.find(from);
     if (state.role != replica_role::Leader || reply.term() != state.term
-        || found == state.followers.end()) {
+        || found == state.followerProgress.end()) {
         return;
     }
     auto &progress = found->second;
     progress.ackedRound = std::max(progress.ackedRound, reply.round());
     takeQuorumRound(state);
-    if (!progress.isTakingSnapshot || reply.index() != state.snapshot.index()) {
+    if (!progress.isReceivingSnapshot || reply.index() != state.snapshot.index()) {
         return;
     }
     progress.snapshotOffset = reply.offset();
-    progress.isWaiting = false;
+    progress.isAwaitingReply = false;
     sendAppend(state, from, progress, now, effects);
 }
 
@@ -187,7 +188,7 @@
                           "a term has one leader");
         becomeFollower(state, term, from, now, effects);
     }
-    state.lastHeard = now;
+    state.lastLeaderContactAt = now;
     resetElection(state, now);
     return true;
 }
@@ -218,7 +219,7 @@
     answer.set_from(state.self);
     if (!acceptLeader(state, request.term(), from, now, effects)) {
         reply->set_term(state.term);
-        effects->send.push_back(answer);
+        effects->messagesAfterSync.push_back(answer);
         return;
     }
     reply->set_term(state.term);
@@ -227,7 +228,7 @@
     const bool isBehindSnapshot = request.previous_index() < state.snapshot.index();
     if (!isBehindSnapshot && held != request.previous_term()) {
         reply->set_match(conflictHint(state, request.previous_index()));
-        effects->send.push_back(answer);
+        effects->messagesAfterSync.push_back(answer);
         return;
     }
     for (const auto &entry : request.entries()) {
@@ -235,12 +236,12 @@
     }
     const auto known =
         request.previous_index() + static_cast<std::uint64_t>(request.entries_size());
-    if (std::min(request.commit(), known) > state.commit) {
+    if (std::min(request.commit(), known) > state.commitIndex) {
         commitTo(state, std::min(request.commit(), known), effects);
     }
     reply->set_accepted(true);
     reply->set_match(std::max(known, state.snapshot.index()));
-    effects->send.push_back(answer);
+    effects->messagesAfterSync.push_back(answer);
 }
 
 void takeSnapshotChunk(replicated_log_state &state, const std::string &from,
@@ -252,25 +253,25 @@
     answer.set_from(state.self);
     if (!acceptLeader(state, chunk.term(), from, now, effects)) {
         answer.mutable_append_reply()->set_term(state.term);
-        effects->send.push_back(answer);
+        effects->messagesAfterSync.push_back(answer);
         return;
     }
-    if (chunk.header().index() <= state.commit) {
+    if (chunk.header().index() <= state.commitIndex) {
         auto *reply = answer.mutable_append_reply();
         reply->set_term(state.term);
         reply->set_accepted(true);
-        reply->set_match(state.commit);
+        reply->set_match(state.commitIndex);
         reply->set_round(chunk.round());
-        effects->send.push_back(answer);
+        effects->messagesAfterSync.push_back(answer);
         return;
     }
-    if (state.incomingHeader.index() != chunk.header().index()
-        || state.incomingHeader.term() != chunk.header().term()) {
-        state.incomingHeader = chunk.header();
-        state.incoming.clear();
+    if (state.incomingSnapshotHeader.index() != chunk.header().index()
+        || state.incomingSnapshotHeader.term() != chunk.header().term()) {
+        state.incomingSnapshotHeader = chunk.header();
+        state.incomingSnapshot.clear();
     }
-    if (chunk.offset() == state.incoming.size()) {
-        state.incoming += chunk.data();
+    if (chunk.offset() == state.incomingSnapshot.size()) {
+        state.incomingSnapshot += chunk.data();
         if (chunk.last()) {
             installIncoming(state, effects);
             auto *reply = answer.mutable_append_reply();
@@ -278,16 +279,16 @@
             reply->set_accepted(true);
             reply->set_match(state.snapshot.index());
             reply->set_round(chunk.round());
-            effects->send.push_back(answer);
+            effects->messagesAfterSync.push_back(answer);
             return;
         }
     }
     auto *reply = answer.mutable_snapshot_reply();
     reply->set_term(state.term);
     reply->set_index(chunk.header().index());
-    reply->set_offset(state.incoming.size());
+    reply->set_offset(state.incomingSnapshot.size());
     reply->set_round(chunk.round());
-    effects->send.push_back(answer);
+    effects->messagesAfterSync.push_back(answer);
 }
 
 std::uint64_t termOf(const messages::replication_message &message)
@@ -330,15 +331,15 @@
     state.votedFor = stored.votedFor;
     state.snapshot = stored.snapshot;
     state.snapshotData = std::make_shared<const std::string>(stored.snapshotData);
-    state.members = stored.snapshot.members();
-    state.membersIndex = stored.snapshot.index();
-    state.commit = stored.snapshot.index();
-    state.applied = stored.snapshot.index();
+    state.membership = stored.snapshot.members();
+    state.membershipIndex = stored.snapshot.index();
+    state.commitIndex = stored.snapshot.index();
+    state.appliedIndex = stored.snapshot.index();
     state.entries.assign(stored.entries.begin(), stored.entries.end());
-    state.durable = lastIndex(state);
+    state.durableIndex = lastIndex(state);
     restoreMembers(state);
     // A restarted member does not know when it last heard a leader, whose lease may still hold.
-    state.lastHeard = now;
+    state.lastLeaderContactAt = now;
     resetElection(state, now);
     return state;
 }
@@ -346,7 +347,7 @@
 namespace {
 
 // Twice the maximum time between two calls of tickLog() that its documentation requires.
-constexpr milliseconds stallSpan {40};
+constexpr milliseconds stallTimeout {40};
 // A busy member needs one or two iterations of its event loop to read the queued messages.
 constexpr milliseconds catchUpSpan {50};
 
@@ -355,8 +356,8 @@
     election timeout, so that a member that is always slow can start elections too. */
 void noteStall(replicated_log_state &state, time_point now)
 {
-    const bool hasStalled = state.steppedAt.ms > 0 && now - state.steppedAt > stallSpan;
-    state.steppedAt = now;
+    const bool hasStalled = state.lastTickAt.ms > 0 && now - state.lastTickAt > stallTimeout;
+    state.lastTickAt = now;
     if (hasStalled && now - state.catchUpUntil > state.settings.electionTimeout) {
         state.catchUpUntil = now + catchUpSpan;
     }
@@ -364,35 +365,37 @@
 
 } // namespace
 
-void stepTime(replicated_log_state &state, time_point now, replication_effects *effects)
+void tickLog(replicated_log_state &state, time_point now, replication_effects *effects)
 {
     noteStall(state, now);
     if (state.role == replica_role::Leader) {
-        if (now - state.lastQuorum >= state.settings.electionTimeout && !isSoleVoter(state)) {
+        if (now - state.lastQuorumContactAt >= state.settings.electionTimeout
+            && !isSoleVoter(state)) {
             becomeFollower(state, state.term, {}, now, effects);
             return;
         }
         if (isSoleVoter(state)) {
-            state.lastQuorum = now;
-            state.leaseUntil = now + state.settings.electionTimeout;
+            state.lastQuorumContactAt = now;
+            state.leaseExpiresAt = now + state.settings.electionTimeout;
         }
-        if (now >= state.heartbeatAt) {
+        if (now >= state.nextHeartbeatAt) {
             sendHeartbeats(state, now, effects);
         }
-        if (state.handOverUntil && now >= *state.handOverUntil) {
+        if (state.transferDeadline && now >= *state.transferDeadline) {
             // The transferee may still receive the request late, and its election disregards the
             // lease, so this member cannot continue to lead in this term.
             becomeFollower(state, state.term, {}, now, effects);
         }
         return;
     }
-    if (now >= state.electionAt && now >= state.catchUpUntil) {
+    if (now >= state.electionDeadline && now >= state.catchUpUntil) {
         startPreVote(state, now, effects);
     }
 }
 
-void stepMessage(replicated_log_state &state, const messages::replication_message &message,
-                 time_point now, replication_effects *effects)
+void handleReplicationMessage(replicated_log_state &state,
+                              const messages::replication_message &message, time_point now,
+                              replication_effects *effects)
 {
     if (message.to() != state.self) {
         return;
@@ -431,10 +434,10 @@
     }
 }
 
-void stepPersisted(replicated_log_state &state, std::uint64_t index, time_point now,
-                   replication_effects *effects)
+void handlePersisted(replicated_log_state &state, std::uint64_t index, time_point now,
+                     replication_effects *effects)
 {
-    state.durable = std::max(state.durable, std::min(index, lastIndex(state)));
+    state.durableIndex = std::max(state.durableIndex, std::min(index, lastIndex(state)));
     if (state.role == replica_role::Leader) {
         advanceCommit(state, now, effects);
     }
@@ -443,10 +446,11 @@
 std::error_code propose(replicated_log_state &state, const std::vector<std::string> &payloads,
                         time_point now, replication_effects *effects)
 {
-    if (state.role != replica_role::Leader || state.handOverUntil) {
+    if (state.role != replica_role::Leader || state.transferDeadline) {
         return error_kind::NoLeader;
     }
-    if (lastIndex(state) - state.commit + payloads.size() > state.settings.maxUncommitted) {
+    if (lastIndex(state) - state.commitIndex + payloads.size()
+        > state.settings.maxUncommittedEntries) {
         return error_kind::Overloaded;
     }
     for (const auto &payload : payloads) {
@@ -463,14 +467,14 @@
     if (!isReadyLeader(state)) {
         return error_kind::NoLeader;
     }
-    if (state.membersIndex > state.commit) {
+    if (state.membershipIndex > state.commitIndex) {
         return error_kind::Conflict;
     }
-    const bool isKnown = findMember(state.members, which.identity()) != nullptr;
+    const bool isKnown = findMember(state.membership, which.identity()) != nullptr;
     if (isKnown == add) {
         return add ? error_kind::Conflict : error_kind::NotFound;
     }
-    auto next = state.members;
+    auto next = state.membership;
     if (add) {
         auto *added = next.add_members();
         *added = which;
@@ -504,7 +508,7 @@
 
 void compactLog(replicated_log_state &state, std::uint64_t index, std::string data)
 {
-    FILBERT_INVARIANT(index <= state.applied, "a snapshot includes only applied entries");
+    FILBERT_INVARIANT(index <= state.appliedIndex, "a snapshot includes only applied entries");
     if (index <= state.snapshot.index()) {
         return;
     }
@@ -513,28 +517,29 @@
         state.entries.pop_front();
     }
     state.snapshotData = std::make_shared<const std::string>(std::move(data));
-    for (auto &[name, progress] : state.followers) {
+    for (auto &[name, progress] : state.followerProgress) {
         progress.snapshotOffset = 0;
     }
 }
 
 bool hasLease(const replicated_log_state &state, time_point now)
 {
-    return state.role == replica_role::Leader && now < state.leaseUntil && !state.handOverUntil;
+    return state.role == replica_role::Leader && now < state.leaseExpiresAt
+        && !state.transferDeadline;
 }
 
 bool hasLostEntries(const follower_progress &progress)
 {
-    return progress.refusals >= refusalsOfLostEntries;
+    return progress.rejections >= refusalsOfLostEntries;
 }
 
 bool isReadyLeader(const replicated_log_state &state)
 {
-    return state.role == replica_role::Leader && !state.handOverUntil
-        && termAt(state, state.applied) == state.term;
+    return state.role == replica_role::Leader && !state.transferDeadline
+        && termAt(state, state.appliedIndex) == state.term;
 }
 
-messages::log_entry makeFirstEntry(const messages::member &self)
+messages::log_entry makeBootstrapEntry(const messages::member &self)
 {
     messages::membership members;
     *members.add_members() = self;
--- a/modules/filbert_replication/replicated_log.h
+++ b/modules/filbert_replication/replicated_log.h
@@ -18,10 +18,10 @@
 struct replication_settings
 {
     milliseconds electionTimeout {500}; // the minimum; a random time up to half of it is added
-    milliseconds heartbeat {100};
-    std::size_t appendBytes = 1 << 20;
+    milliseconds heartbeatPeriod {100};
+    std::size_t maxAppendBytes = 1 << 20;
     std::size_t snapshotChunkBytes = 256 << 10;
-    std::size_t maxUncommitted = 20'000; // entries of a leader that no quorum holds yet
+    std::size_t maxUncommittedEntries = 20'000; // entries of a leader that no quorum holds yet
 };
 
 enum class replica_role { Follower, PreCandidate, Candidate, Leader };
@@ -32,16 +32,16 @@
 /** What a leader knows about the log of another member. */
 struct follower_progress
 {
-    std::uint64_t match = 0; // the last entry known to be durable there
-    std::uint64_t next = 1; // the next entry to send
+    std::uint64_t matchIndex = 0; // the last entry known to be durable there
+    std::uint64_t nextIndex = 1; // the next entry to send
     std::uint64_t ackedRound = 0;
     bool isProbing = true; // sends one append at a time until the logs match
-    bool isWaiting = false; // for the reply to a probe or a snapshot chunk
+    bool isAwaitingReply = false; // for the reply to a probe or a snapshot chunk
     std::uint64_t snapshotOffset = 0;
-    bool isTakingSnapshot = false;
+    bool isReceivingSnapshot = false;
     time_point lastSent;
-    int refusals = 0; // consecutive ones of entries that it had acknowledged
-    std::uint64_t refusedRound = 0; // the heartbeat round of the last rejection
+    int rejections = 0; // consecutive ones of entries that it had acknowledged
+    std::uint64_t rejectedRound = 0; // the heartbeat round of the last rejection
 };
 
 /** The state of one member of a replicated log.
@@ -65,28 +65,31 @@
     messages::snapshot_header snapshot;
     std::shared_ptr<const std::string> snapshotData;
     std::deque<messages::log_entry> entries; // those after the snapshot
-    std::uint64_t durable = 0; // index of the last entry synced on this member
-    std::uint64_t commit = 0;
-    std::uint64_t applied = 0; // index of the last entry passed to the caller to apply
+    std::uint64_t durableIndex = 0; // index of the last entry synced on this member
+    std::uint64_t commitIndex = 0;
+    std::uint64_t appliedIndex = 0; // index of the last entry passed to the caller to apply
 
-    messages::membership members; // the newest in the log, in force as soon as it is appended
-    std::uint64_t membersIndex = 0;
+    messages::membership membership; // the newest in the log, in force as soon as it is appended
+    std::uint64_t membershipIndex = 0;
 
     std::map<std::string, bool> votes; // received as a candidate
-    std::map<std::string, follower_progress> followers; // as a leader, by identity
-    std::uint64_t round = 0; // number of the last heartbeat to all followers
-    std::map<std::uint64_t, time_point> roundsSent; // when rounds without a quorum yet were sent
-    time_point leaseUntil; // as a leader
-    time_point lastHeard; // of a message from a leader; also set at start and on stepping down
-    time_point lastQuorum; // as a leader: when the last round that a quorum answered was sent
-    time_point electionAt;
-    time_point heartbeatAt;
-    time_point steppedAt; // the last call of tickLog()
+    std::map<std::string, follower_progress> followerProgress; // as a leader, by identity
+    std::uint64_t heartbeatRound = 0; // number of the last heartbeat to all followers
+    std::map<std::uint64_t, time_point>
+        roundSendTimes; // when rounds without a quorum yet were sent
+    time_point leaseExpiresAt; // as a leader
+    time_point
+        lastLeaderContactAt; // of a message from a leader; also set at start and on stepping down
+    time_point
+        lastQuorumContactAt; // as a leader: when the last round that a quorum answered was sent
+    time_point electionDeadline;
+    time_point nextHeartbeatAt;
+    time_point lastTickAt; // the last call of tickLog()
     time_point catchUpUntil; // no election before, so that messages queued in a stall are read
-    std::optional<time_point> handOverUntil; // set during a leadership transfer
-    std::string handOverMember; // identity of the member that leadership is transferred to
-    std::string incoming; // the part of a snapshot that was received so far
-    messages::snapshot_header incomingHeader;
+    std::optional<time_point> transferDeadline; // set during a leadership transfer
+    std::string transferee; // identity of the member that leadership is transferred to
+    std::string incomingSnapshot; // the part of a snapshot that was received so far
+    messages::snapshot_header incomingSnapshotHeader;
 
     std::uint64_t digestIndex = 0; // the index at which the digest was computed
     std::uint64_t digest = 0; // of the applied state; followers compare theirs with the leader's
@@ -96,13 +99,15 @@
     send messages, persist, send more messages, install a snapshot, apply entries. */
 struct replication_effects
 {
-    std::vector<messages::replication_message> early; // do not depend on the sync
+    std::vector<messages::replication_message> messagesBeforeSync; // do not depend on the sync
     bool mustPersist = false; // term, vote and entriesToPersist, in one synced write
-    std::vector<messages::log_entry> persist;
-    std::vector<messages::replication_message> send; // promise what the sync makes durable
+    std::vector<messages::log_entry> entriesToPersist;
+    std::vector<messages::replication_message>
+        messagesAfterSync; // promise what the sync makes durable
     bool mustInstall = false; // replace the applied state by the snapshot in replicated_log_state
-    bool mustDropTail = false; // with mustInstall: stored entries after the snapshot are invalid
-    std::vector<messages::log_entry> committed; // newly committed ones, in order
+    bool mustTruncateTail =
+        false; // with mustInstall: stored entries after the snapshot are invalid
+    std::vector<messages::log_entry> entriesToApply; // newly committed ones, in order
     bool hasRoleChanged = false;
 };
 
@@ -118,15 +123,16 @@
                                        time_point now);
 
 /** Handles all timeouts: elections, heartbeats, check-quorum. Call it at least every 20 ms. */
-void stepTime(replicated_log_state &state, time_point now, replication_effects *effects);
+void tickLog(replicated_log_state &state, time_point now, replication_effects *effects);
 
 /** Handles a message from another member. A message for another identity is ignored. */
-void stepMessage(replicated_log_state &state, const messages::replication_message &message,
-                 time_point now, replication_effects *effects);
+void handleReplicationMessage(replicated_log_state &state,
+                              const messages::replication_message &message, time_point now,
+                              replication_effects *effects);
 
 /** Reports that the entries up to an index, the term and the vote are synced on this member. */
-void stepPersisted(replicated_log_state &state, std::uint64_t index, time_point now,
-                   replication_effects *effects);
+void handlePersisted(replicated_log_state &state, std::uint64_t index, time_point now,
+                     replication_effects *effects);
 
 /** Appends entries to the log of the leader and replicates them.
 
@@ -165,7 +171,8 @@
 
     @return false if this member does not lead, or no voter has acknowledged an entry
 */
-bool handOver(replicated_log_state &state, time_point now, replication_effects *effects);
+bool startLeadershipTransfer(replicated_log_state &state, time_point now,
+                             replication_effects *effects);
 
 /** Whether this member leads and its lease holds, so that no other member can have been elected. */
 bool hasLease(const replicated_log_state &state, time_point now);
@@ -191,6 +198,6 @@
 
 /** @return the first entry of a new log: a membership with this member alone. Used once in the
     lifetime of a cell. */
-messages::log_entry makeFirstEntry(const messages::member &self);
+messages::log_entry makeBootstrapEntry(const messages::member &self);
 
 } // namespace filbert
--- a/modules/filbert_replication/replication_sender.cpp
+++ b/modules/filbert_replication/replication_sender.cpp
@@ -23,8 +23,8 @@
                        follower_progress &progress, replication_effects *effects)
 {
     const auto &data = *state.snapshotData;
-    if (!progress.isTakingSnapshot) {
-        progress.isTakingSnapshot = true;
+    if (!progress.isReceivingSnapshot) {
+        progress.isReceivingSnapshot = true;
         progress.snapshotOffset = 0;
     }
     const auto offset = std::min<std::uint64_t>(progress.snapshotOffset, data.size());
@@ -37,10 +37,10 @@
     chunk->set_offset(offset);
     chunk->set_data(data.substr(offset, length));
     chunk->set_last(offset + length == data.size());
-    chunk->set_round(state.round);
-    progress.isWaiting = true;
-    progress.next = state.snapshot.index() + 1;
-    effects->early.push_back(std::move(message));
+    chunk->set_round(state.heartbeatRound);
+    progress.isAwaitingReply = true;
+    progress.nextIndex = state.snapshot.index() + 1;
+    effects->messagesBeforeSync.push_back(std::move(message));
 }
 
 } // namespace
@@ -49,9 +49,9 @@
                 time_point now, replication_effects *effects)
 {
     progress.lastSent = now;
-    const auto previous = progress.next - 1;
+    const auto previous = progress.nextIndex - 1;
     const auto previousTerm = termAt(state, previous);
-    if (!previousTerm || progress.isTakingSnapshot) {
+    if (!previousTerm || progress.isReceivingSnapshot) {
         sendSnapshotChunk(state, to, progress, effects);
         return;
     }
@@ -60,31 +60,31 @@
     request->set_term(state.term);
     request->set_previous_index(previous);
     request->set_previous_term(*previousTerm);
-    request->set_commit(state.commit);
-    request->set_round(state.round);
+    request->set_commit(state.commitIndex);
+    request->set_round(state.heartbeatRound);
     request->set_digest_index(state.digestIndex);
     request->set_digest(state.digest);
     std::size_t bytes = 0;
-    auto index = progress.next;
-    while (index <= lastIndex(state) && bytes < state.settings.appendBytes) {
+    auto index = progress.nextIndex;
+    while (index <= lastIndex(state) && bytes < state.settings.maxAppendBytes) {
         const auto &entry = entryAt(state, index);
         bytes += entry.payload().size();
         *request->add_entries() = entry;
         ++index;
     }
     if (progress.isProbing) {
-        progress.isWaiting = true;
+        progress.isAwaitingReply = true;
     } else {
         // Assumes that the message arrives; a lost one leads to a mismatch later.
-        progress.next = index;
+        progress.nextIndex = index;
     }
-    effects->early.push_back(std::move(message));
+    effects->messagesBeforeSync.push_back(std::move(message));
 }
 
 void replicate(replicated_log_state &state, time_point now, replication_effects *effects)
 {
-    for (auto &[name, progress] : state.followers) {
-        if (!progress.isWaiting && progress.next <= lastIndex(state)) {
+    for (auto &[name, progress] : state.followerProgress) {
+        if (!progress.isAwaitingReply && progress.nextIndex <= lastIndex(state)) {
             sendAppend(state, name, progress, now, effects);
         }
     }
@@ -92,48 +92,49 @@
 
 void sendHeartbeats(replicated_log_state &state, time_point now, replication_effects *effects)
 {
-    state.heartbeatAt = now + state.settings.heartbeat;
-    ++state.round;
-    state.roundsSent[state.round] = now;
-    while (state.roundsSent.size() > keptRounds) {
-        state.roundsSent.erase(state.roundsSent.begin());
+    state.nextHeartbeatAt = now + state.settings.heartbeatPeriod;
+    ++state.heartbeatRound;
+    state.roundSendTimes[state.heartbeatRound] = now;
+    while (state.roundSendTimes.size() > keptRounds) {
+        state.roundSendTimes.erase(state.roundSendTimes.begin());
     }
-    for (auto &[name, progress] : state.followers) {
+    for (auto &[name, progress] : state.followerProgress) {
         sendAppend(state, name, progress, now, effects);
     }
 }
 
-bool handOver(replicated_log_state &state, time_point now, replication_effects *effects)
+bool startLeadershipTransfer(replicated_log_state &state, time_point now,
+                             replication_effects *effects)
 {
     if (state.role != replica_role::Leader) {
         return false;
     }
     std::uint64_t best = 0;
-    for (const auto &[name, progress] : state.followers) {
-        if (isVoter(state, name) && progress.match >= best && progress.match > 0) {
-            best = progress.match;
-            state.handOverMember = name;
+    for (const auto &[name, progress] : state.followerProgress) {
+        if (isVoter(state, name) && progress.matchIndex >= best && progress.matchIndex > 0) {
+            best = progress.matchIndex;
+            state.transferee = name;
         }
     }
     if (best == 0) {
         return false;
     }
-    state.handOverUntil = now + state.settings.electionTimeout;
-    continueHandOver(state, state.handOverMember, effects);
+    state.transferDeadline = now + state.settings.electionTimeout;
+    continueHandOver(state, state.transferee, effects);
     return true;
 }
 
 void continueHandOver(replicated_log_state &state, const std::string &from,
                       replication_effects *effects)
 {
-    const auto found = state.followers.find(from);
-    if (!state.handOverUntil || from != state.handOverMember || found == state.followers.end()
-        || found->second.match != lastIndex(state)) {
+    const auto found = state.followerProgress.find(from);
+    if (!state.transferDeadline || from != state.transferee || found == state.followerProgress.end()
+        || found->second.matchIndex != lastIndex(state)) {
         return;
     }
     auto message = messageTo(state, from);
     message.mutable_hand_over()->set_term(state.term);
-    effects->send.push_back(message);
+    effects->messagesAfterSync.push_back(message);
 }
 
 } // namespace filbert
--- a/modules/filbert_replication/tests/formation_test.cpp
+++ b/modules/filbert_replication/tests/formation_test.cpp
@@ -20,22 +20,22 @@
 struct formation_fixture
 {
     messages::membership members;
-    formation_view view;
-    formation_settings settings;
+    membership_view view;
+    membership_settings settings;
     time_point now {50'000};
 
     formation_fixture()
     {
         for (const auto *name : {"a", "b", "c"}) {
             *members.add_members() = memberOf(name, std::string {"tcp://host-"} + name);
-            view.heardAt[name] = now;
+            view.lastContactAt[name] = now;
         }
-        view.members = &members;
+        view.membership = &members;
         view.self = "a";
         view.leadingSince = now - milliseconds {10'000};
     }
 
-    std::optional<formation_step> next() { return nextFormationStep(view, settings, now); }
+    std::optional<membership_change> next() { return nextMembershipChange(view, settings, now); }
 };
 
 } // namespace
@@ -45,23 +45,23 @@
     const std::vector<std::string> seeds {"10.2.0.1:80", "10.1.0.9:80", "10.3.0.4:80"};
     int founders = 0;
     for (const auto &own : {"10.1.0.9:80", "10.2.0.1:80", "10.3.0.4:80", "10.4.0.1:80"}) {
-        founders += isFounder(seeds, own) ? 1 : 0;
+        founders += isBootstrapMember(seeds, own) ? 1 : 0;
     }
     CHECK(founders == 1);
-    CHECK_FALSE(isFounder({}, "10.1.0.9:80"));
+    CHECK_FALSE(isBootstrapMember({}, "10.1.0.9:80"));
 }
 
 TEST_CASE("a process that requests to join is added, unless its request is stale", "[formation]")
 {
     formation_fixture cell;
     CHECK_FALSE(cell.next());
-    cell.view.candidates.push_back({memberOf("d", "tcp://host-d"), cell.now});
+    cell.view.pendingJoins.push_back({memberOf("d", "tcp://host-d"), cell.now});
     const auto step = cell.next();
     REQUIRE(step);
     CHECK(step->add);
-    CHECK(step->which.identity() == "d");
+    CHECK(step->member.identity() == "d");
     cell.now = cell.now + milliseconds {1'100};
-    for (auto &[name, heard] : cell.view.heardAt) {
+    for (auto &[name, heard] : cell.view.lastContactAt) {
         heard = cell.now;
     }
     CHECK_FALSE(cell.next());
@@ -70,27 +70,27 @@
 TEST_CASE("a silent member is removed only once there are enough other voters", "[formation]")
 {
     formation_fixture cell;
-    cell.view.heardAt["c"] = cell.now - milliseconds {5'000};
+    cell.view.lastContactAt["c"] = cell.now - milliseconds {5'000};
     CHECK_FALSE(cell.next());
     *cell.members.add_members() = memberOf("d", "tcp://host-d", true);
-    cell.view.heardAt["d"] = cell.now;
+    cell.view.lastContactAt["d"] = cell.now;
     CHECK_FALSE(cell.next()); // the learner is no voter yet
     cell.members.mutable_members(3)->set_learner(false);
     const auto step = cell.next();
     REQUIRE(step);
     CHECK_FALSE(step->add);
-    CHECK(step->which.identity() == "c");
+    CHECK(step->member.identity() == "c");
 }
 
 TEST_CASE("a member whose address another process has taken over is removed at once", "[formation]")
 {
     formation_fixture cell;
-    cell.view.heardAt["b"] = cell.now - milliseconds {300};
+    cell.view.lastContactAt["b"] = cell.now - milliseconds {300};
     *cell.members.add_members() = memberOf("b2", "tcp://host-b");
-    cell.view.heardAt["b2"] = cell.now;
+    cell.view.lastContactAt["b2"] = cell.now;
     const auto step = cell.next();
     REQUIRE(step);
-    CHECK(step->which.identity() == "b");
+    CHECK(step->member.identity() == "b");
 }
 
 TEST_CASE("a restarted member applies its log in batches, to answer others in between",
@@ -104,7 +104,7 @@
     storage_damage damage;
     REQUIRE(!store.open(&stored, &damage));
     stored.term = 1;
-    stored.entries = {makeFirstEntry(memberOf("a", "tcp://host-a"))};
+    stored.entries = {makeBootstrapEntry(memberOf("a", "tcp://host-a"))};
     for (std::uint64_t index = 2; index <= entries; ++index) {
         messages::log_entry entry;
         entry.set_index(index);
@@ -119,7 +119,7 @@
     hooks.send = [](const messages::member &, const messages::replication_message &) {};
     hooks.apply = [&](const messages::log_entry &entry) { applied.push_back(entry.index()); };
     hooks.restore = [](const std::string &) {};
-    hooks.write = [&] {
+    hooks.makeSnapshot = [&] {
         written.push_back(applied.back());
         return std::string {};
     };
@@ -128,15 +128,15 @@
     snapshots.entries = 10;
     log_member member {replication_settings {}, snapshots, stored, 7, store, hooks, start};
     const auto later = start + milliseconds {2'000};
-    member.takeTime(later);
+    member.tick(later);
     REQUIRE(!member.flush(later));
-    CHECK(applied.size() == entriesPerFlush);
-    CHECK_FALSE(member.isSettled());
+    CHECK(applied.size() == maxEntriesPerFlush);
+    CHECK_FALSE(member.hasAppliedAll());
     CHECK(written.empty()); // a snapshot would include entries that are not applied yet
     for (int i = 0; i < 4; ++i) {
         REQUIRE(!member.flush(later));
     }
-    CHECK(member.isSettled());
+    CHECK(member.hasAppliedAll());
     REQUIRE(applied.size() >= entries);
     CHECK(std::is_sorted(applied.begin(), applied.end()));
     REQUIRE(written.size() == 1);
@@ -153,7 +153,7 @@
     storage_damage damage;
     REQUIRE(!store.open(&stored, &damage));
     stored.term = 1;
-    stored.entries = {makeFirstEntry(memberOf("a", "tcp://host-a"))};
+    stored.entries = {makeBootstrapEntry(memberOf("a", "tcp://host-a"))};
     REQUIRE(!store.append(1, "", stored.entries));
     std::vector<std::string> applied;
     log_member_hooks hooks;
@@ -164,19 +164,19 @@
         }
     };
     hooks.restore = [](const std::string &) {};
-    hooks.write = [] { return std::string {}; };
+    hooks.makeSnapshot = [] { return std::string {}; };
     const time_point start {1'000};
     log_member member {
         replication_settings {}, snapshot_settings {}, stored, 7, store, hooks, start};
     const auto later = start + milliseconds {2'000};
-    member.takeTime(later);
+    member.tick(later);
     REQUIRE(!member.flush(later));
-    REQUIRE(member.isSettled());
+    REQUIRE(member.hasAppliedAll());
     std::uint64_t index = 0;
     REQUIRE(!member.propose("work", later, &index));
-    CHECK_FALSE(member.isSettled());
+    CHECK_FALSE(member.hasAppliedAll());
     CHECK(applied.empty());
     REQUIRE(!member.flush(later));
-    CHECK(member.isSettled());
+    CHECK(member.hasAppliedAll());
     CHECK(applied == std::vector<std::string> {"work"});
 }
--- a/modules/filbert_replication/tests/replicated_log_test.cpp
+++ b/modules/filbert_replication/tests/replicated_log_test.cpp
@@ -22,7 +22,7 @@
     stored.identity = identity;
     stored.term = term;
     stored.votedFor = vote;
-    auto first = makeFirstEntry({});
+    auto first = makeBootstrapEntry({});
     first.set_payload(threeMembers().SerializeAsString());
     stored.entries = {first};
     return makeReplicatedLog(stored, {}, 7, {0});
@@ -42,7 +42,8 @@
 
 bool isGranted(const replication_effects &effects)
 {
-    return !effects.send.empty() && effects.send.back().vote_reply().granted();
+    return !effects.messagesAfterSync.empty()
+        && effects.messagesAfterSync.back().vote_reply().granted();
 }
 
 messages::replication_message granted(const std::string &from, const std::string &to,
@@ -62,9 +63,9 @@
 {
     auto state = memberOf("a");
     replication_effects effects;
-    stepTime(state, now, &effects);
-    stepMessage(state, granted("b", "a", 2, true), now, &effects);
-    stepMessage(state, granted("b", "a", 2, false), now, &effects);
+    tickLog(state, now, &effects);
+    handleReplicationMessage(state, granted("b", "a", 2, true), now, &effects);
+    handleReplicationMessage(state, granted("b", "a", 2, false), now, &effects);
     REQUIRE(state.role == replica_role::Leader);
     return state;
 }
@@ -79,7 +80,7 @@
     reply->set_term(leader.term);
     reply->set_accepted(true);
     reply->set_match(match);
-    reply->set_round(leader.round);
+    reply->set_round(leader.heartbeatRound);
     return message;
 }
 
@@ -91,14 +92,14 @@
 {
     auto state = memberOf("b");
     replication_effects effects;
-    stepMessage(state, voteRequest("a", "b", 2), later, &effects);
+    handleReplicationMessage(state, voteRequest("a", "b", 2), later, &effects);
     REQUIRE(isGranted(effects));
     CHECK(effects.mustPersist);
     CHECK(state.votedFor == "a");
 
     auto restarted = memberOf("b", state.term, state.votedFor);
     replication_effects second;
-    stepMessage(restarted, voteRequest("c", "b", 2), later, &second);
+    handleReplicationMessage(restarted, voteRequest("c", "b", 2), later, &second);
     CHECK_FALSE(isGranted(second));
 }
 
@@ -112,12 +113,12 @@
     append.mutable_append()->set_previous_index(1);
     append.mutable_append()->set_previous_term(1);
     replication_effects effects;
-    stepMessage(state, append, later, &effects);
+    handleReplicationMessage(state, append, later, &effects);
     replication_effects asked;
-    stepMessage(state, voteRequest("c", "b", 3), later + milliseconds {499}, &asked);
+    handleReplicationMessage(state, voteRequest("c", "b", 3), later + milliseconds {499}, &asked);
     CHECK_FALSE(isGranted(asked));
     CHECK(state.term == 2);
-    stepMessage(state, voteRequest("c", "b", 3), later + milliseconds {500}, &asked);
+    handleReplicationMessage(state, voteRequest("c", "b", 3), later + milliseconds {500}, &asked);
     CHECK(isGranted(asked));
 }
 
@@ -126,10 +127,10 @@
 {
     auto state = leaderAt(later);
     replication_effects effects;
-    stepMessage(state, accepted(state, "b", 2), later, &effects);
+    handleReplicationMessage(state, accepted(state, "b", 2), later, &effects);
     CHECK(hasLease(state, later + milliseconds {470}));
     CHECK_FALSE(hasLease(state, later + milliseconds {476}));
-    stepTime(state, later + milliseconds {500}, &effects);
+    tickLog(state, later + milliseconds {500}, &effects);
     CHECK(state.role == replica_role::Follower);
 }
 
@@ -137,23 +138,24 @@
 {
     auto state = leaderAt(later);
     replication_effects effects;
-    stepPersisted(state, lastIndex(state), later, &effects);
-    stepMessage(state, accepted(state, "b", 2), later, &effects);
+    handlePersisted(state, lastIndex(state), later, &effects);
+    handleReplicationMessage(state, accepted(state, "b", 2), later, &effects);
     messages::member added;
     added.set_identity("d");
     REQUIRE_FALSE(changeMembership(state, true, added, later, &effects));
     CHECK(changeMembership(state, true, added, later, &effects) == error_kind::Conflict);
-    stepPersisted(state, lastIndex(state), later, &effects);
-    const auto before = state.commit;
-    stepMessage(state, accepted(state, "d", lastIndex(state)), later, &effects);
-    CHECK(state.commit == before);
-    stepMessage(state, accepted(state, "c", lastIndex(state)), later, &effects);
-    CHECK(state.commit > before);
+    handlePersisted(state, lastIndex(state), later, &effects);
+    const auto before = state.commitIndex;
+    handleReplicationMessage(state, accepted(state, "d", lastIndex(state)), later, &effects);
+    CHECK(state.commitIndex == before);
+    handleReplicationMessage(state, accepted(state, "c", lastIndex(state)), later, &effects);
+    CHECK(state.commitIndex > before);
 
     auto learner = memberOf("d");
     replication_effects own;
-    stepTime(learner, later, &own);
-    CHECK(own.send.empty()); // it is not in its own membership, so it never starts an election
+    tickLog(learner, later, &own);
+    CHECK(own.messagesAfterSync
+              .empty()); // it is not in its own membership, so it never starts an election
 }
 
 TEST_CASE("an entry of an earlier term is committed only with one of the leader's own term")
@@ -161,7 +163,7 @@
     stored_state stored;
     stored.identity = "a";
     stored.term = 3;
-    auto first = makeFirstEntry({});
+    auto first = makeBootstrapEntry({});
     first.set_payload(threeMembers().SerializeAsString());
     messages::log_entry old;
     old.set_index(2);
@@ -169,29 +171,29 @@
     stored.entries = {first, old};
     auto state = makeReplicatedLog(stored, {}, 7, {0});
     replication_effects effects;
-    stepTime(state, later, &effects);
-    stepMessage(state, granted("b", "a", 4, true), later, &effects);
-    stepMessage(state, granted("b", "a", 4, false), later, &effects);
+    tickLog(state, later, &effects);
+    handleReplicationMessage(state, granted("b", "a", 4, true), later, &effects);
+    handleReplicationMessage(state, granted("b", "a", 4, false), later, &effects);
     REQUIRE(state.role == replica_role::Leader);
-    stepPersisted(state, lastIndex(state), later, &effects);
-    stepMessage(state, accepted(state, "b", 2), later, &effects);
-    CHECK(state.commit == 0); // a later leader could still replace entry 2
-    stepMessage(state, accepted(state, "b", 3), later, &effects);
-    CHECK(state.commit == 3);
+    handlePersisted(state, lastIndex(state), later, &effects);
+    handleReplicationMessage(state, accepted(state, "b", 2), later, &effects);
+    CHECK(state.commitIndex == 0); // a later leader could still replace entry 2
+    handleReplicationMessage(state, accepted(state, "b", 3), later, &effects);
+    CHECK(state.commitIndex == 3);
 }
 
 TEST_CASE("a leader that started a leadership transfer never serves again in its term")
 {
     auto state = leaderAt(later);
     replication_effects effects;
-    stepPersisted(state, lastIndex(state), later, &effects);
-    stepMessage(state, accepted(state, "b", 2), later, &effects);
+    handlePersisted(state, lastIndex(state), later, &effects);
+    handleReplicationMessage(state, accepted(state, "b", 2), later, &effects);
     REQUIRE(hasLease(state, later));
-    REQUIRE(handOver(state, later, &effects));
+    REQUIRE(startLeadershipTransfer(state, later, &effects));
     CHECK_FALSE(hasLease(state, later));
-    CHECK(effects.send.back().has_hand_over());
+    CHECK(effects.messagesAfterSync.back().has_hand_over());
     CHECK(propose(state, {"x"}, later, &effects) == error_kind::NoLeader);
-    stepTime(state, later + milliseconds {500}, &effects);
+    tickLog(state, later + milliseconds {500}, &effects);
     CHECK(state.role == replica_role::Follower);
 }
 
@@ -199,9 +201,9 @@
 {
     auto state = memberOf("b-new");
     replication_effects effects;
-    stepMessage(state, voteRequest("a", "b-old", 9), later, &effects);
+    handleReplicationMessage(state, voteRequest("a", "b-old", 9), later, &effects);
     CHECK(state.term == 1);
-    CHECK(effects.send.empty());
+    CHECK(effects.messagesAfterSync.empty());
 }
 
 TEST_CASE("a snapshot that conflicts with the log invalidates the entries after it")
@@ -223,7 +225,7 @@
         entry->set_index(index);
         entry->set_term(3);
     }
-    stepMessage(state, append, {1}, &effects);
+    handleReplicationMessage(state, append, {1}, &effects);
     REQUIRE(lastIndex(state) == 4);
 
     messages::replication_message snapshot;
@@ -236,9 +238,9 @@
     *chunk->mutable_header()->mutable_members() = threeMembers();
     chunk->set_last(true);
     effects = {};
-    stepMessage(state, snapshot, {2}, &effects);
+    handleReplicationMessage(state, snapshot, {2}, &effects);
     CHECK(effects.mustInstall);
-    CHECK(effects.mustDropTail);
+    CHECK(effects.mustTruncateTail);
     CHECK(lastIndex(state) == 2);
 }
 
@@ -248,19 +250,20 @@
     auto leader = leaderAt({2'000});
     replication_effects effects;
     REQUIRE_FALSE(propose(leader, {"one", "two"}, {2'000}, &effects));
-    stepPersisted(leader, lastIndex(leader), {2'000}, &effects);
-    stepMessage(leader, accepted(leader, "b", lastIndex(leader) - 1), {2'001}, &effects);
+    handlePersisted(leader, lastIndex(leader), {2'000}, &effects);
+    handleReplicationMessage(leader, accepted(leader, "b", lastIndex(leader) - 1), {2'001},
+                             &effects);
     auto refused = accepted(leader, "b", 1);
     refused.mutable_append_reply()->set_accepted(false);
     effects = {};
     std::size_t sent = 0;
     for (int i = 0; i < 50; ++i) { // a probe for each rejection would cause the next rejection
-        stepMessage(leader, refused, {2'002}, &effects);
-        sent += std::exchange(effects.early, {}).size();
+        handleReplicationMessage(leader, refused, {2'002}, &effects);
+        sent += std::exchange(effects.messagesBeforeSync, {}).size();
     }
     CHECK(sent <= 1);
-    stepTime(leader, {2'200}, &effects);
-    CHECK_FALSE(effects.early.empty());
+    tickLog(leader, {2'200}, &effects);
+    CHECK_FALSE(effects.messagesBeforeSync.empty());
 }
 
 TEST_CASE("the leader and two learners are no quorum of three voters")
@@ -268,41 +271,41 @@
     auto state = leaderAt(later);
     replication_effects effects;
     const auto agree = [&](const std::string &member) {
-        stepMessage(state, accepted(state, member, lastIndex(state)), later, &effects);
+        handleReplicationMessage(state, accepted(state, member, lastIndex(state)), later, &effects);
     };
-    stepPersisted(state, lastIndex(state), later, &effects);
+    handlePersisted(state, lastIndex(state), later, &effects);
     agree("b");
     for (const char *name : {"d", "e"}) {
         messages::member added;
         added.set_identity(name);
         REQUIRE_FALSE(changeMembership(state, true, added, later, &effects));
-        stepPersisted(state, lastIndex(state), later, &effects);
+        handlePersisted(state, lastIndex(state), later, &effects);
         if (name == std::string_view {"d"}) {
             agree("b");
         }
     }
-    const auto before = state.commit;
+    const auto before = state.commitIndex;
     agree("d");
     agree("e");
-    CHECK(state.commit == before);
+    CHECK(state.commitIndex == before);
     agree("c");
-    CHECK(state.commit > before);
+    CHECK(state.commitIndex > before);
 }
 
 TEST_CASE("with two voters both must hold an entry to commit it")
 {
     auto state = leaderAt(later);
     replication_effects effects;
-    stepPersisted(state, lastIndex(state), later, &effects);
-    stepMessage(state, accepted(state, "b", lastIndex(state)), later, &effects);
+    handlePersisted(state, lastIndex(state), later, &effects);
+    handleReplicationMessage(state, accepted(state, "b", lastIndex(state)), later, &effects);
     messages::member gone;
     gone.set_identity("c");
     REQUIRE_FALSE(changeMembership(state, false, gone, later, &effects));
-    const auto before = state.commit;
-    stepPersisted(state, lastIndex(state), later, &effects);
-    CHECK(state.commit == before);
-    stepMessage(state, accepted(state, "b", lastIndex(state)), later, &effects);
-    CHECK(state.commit == lastIndex(state));
+    const auto before = state.commitIndex;
+    handlePersisted(state, lastIndex(state), later, &effects);
+    CHECK(state.commitIndex == before);
+    handleReplicationMessage(state, accepted(state, "b", lastIndex(state)), later, &effects);
+    CHECK(state.commitIndex == lastIndex(state));
 }
 
 TEST_CASE(
@@ -316,13 +319,13 @@
     heartbeat.mutable_append()->set_term(1);
     heartbeat.mutable_append()->set_previous_index(1);
     heartbeat.mutable_append()->set_previous_term(1);
-    stepTime(state, {100}, &effects);
-    stepMessage(state, heartbeat, {100}, &effects);
+    tickLog(state, {100}, &effects);
+    handleReplicationMessage(state, heartbeat, {100}, &effects);
     effects = {};
-    stepTime(state, {2'000}, &effects); // after a stall, with a heartbeat unread
-    CHECK(effects.send.empty());
-    stepMessage(state, heartbeat, {2'010}, &effects);
-    stepTime(state, {2'200}, &effects);
+    tickLog(state, {2'000}, &effects); // after a stall, with a heartbeat unread
+    CHECK(effects.messagesAfterSync.empty());
+    handleReplicationMessage(state, heartbeat, {2'010}, &effects);
+    tickLog(state, {2'200}, &effects);
     CHECK(state.role == replica_role::Follower);
     CHECK(state.leader == "b");
 }
@@ -335,7 +338,7 @@
     time_point now {slowStep.count};
     const auto until = now + state.settings.electionTimeout + state.settings.electionTimeout;
     while (now < until && state.role == replica_role::Follower) {
-        stepTime(state, now, &effects);
+        tickLog(state, now, &effects);
         now = now + slowStep;
     }
     CHECK(state.role == replica_role::PreCandidate);
--- a/modules/filbert_storage/log_store.cpp
+++ b/modules/filbert_storage/log_store.cpp
@@ -293,7 +293,7 @@
     return {};
 }
 
-std::error_code log_store::dropAfter(std::uint64_t index)
+std::error_code log_store::truncateAfter(std::uint64_t index)
 {
     messages::stored_frame message;
     message.set_term(term);
@@ -333,7 +333,7 @@
         return error;
     }
     for (std::size_t offset = 0; offset < data.size(); offset += snapshotPartBytes) {
-        if (const auto error = addSnapshotPart(data.substr(offset, snapshotPartBytes))) {
+        if (const auto error = addSnapshotChunk(data.substr(offset, snapshotPartBytes))) {
             return error;
         }
     }
@@ -348,7 +348,7 @@
     return writeSnapshotFrame(snapshotHeaderFrame, header.SerializeAsString());
 }
 
-std::error_code log_store::addSnapshotPart(std::string_view part)
+std::error_code log_store::addSnapshotChunk(std::string_view part)
 {
     return writeSnapshotFrame(firstPartFrame + snapshotParts++, part);
 }
--- a/modules/filbert_storage/log_store.h
+++ b/modules/filbert_storage/log_store.h
@@ -27,7 +27,7 @@
 {
     std::string file;
     std::uint64_t offset = 0;
-    std::string what;
+    std::string description;
 };
 
 /** Term, vote, log and snapshot of one member, in the files of its data folder.
@@ -75,7 +75,7 @@
         @param index  the last entry that is kept
         @return as append()
     */
-    std::error_code dropAfter(std::uint64_t index);
+    std::error_code truncateAfter(std::uint64_t index);
 
     /** Writes and syncs a whole snapshot, then removes the segments that it covers.
 
@@ -94,7 +94,7 @@
     std::error_code startSnapshot(const messages::snapshot_header &header);
 
     /** Writes and syncs the next chunk of the started snapshot. @return as saveSnapshot() */
-    std::error_code addSnapshotPart(std::string_view part);
+    std::error_code addSnapshotChunk(std::string_view part);
 
     /** Completes the started snapshot, so that open() reads it, and removes the segments that it
         covers. @return as saveSnapshot() */
--- a/modules/filbert_storage/tests/log_store_test.cpp
+++ b/modules/filbert_storage/tests/log_store_test.cpp
@@ -154,10 +154,10 @@
     messages::snapshot_header header;
     header.set_index(2);
     REQUIRE_FALSE(store.startSnapshot(header));
-    REQUIRE_FALSE(store.addSnapshotPart("one "));
+    REQUIRE_FALSE(store.addSnapshotChunk("one "));
     REQUIRE_FALSE(store.append(3, "me", {entryOf(4, 3, "meanwhile")}));
     CHECK(reopen(files).snapshot.index() == 0);
-    REQUIRE_FALSE(store.addSnapshotPart("two"));
+    REQUIRE_FALSE(store.addSnapshotChunk("two"));
     const auto unfinished = files.contentOf("snapshot.tmp");
     REQUIRE_FALSE(store.finishSnapshot());
     const auto whole = reopen(files);
@@ -182,7 +182,7 @@
     stored_state state;
     storage_damage damage;
     REQUIRE_FALSE(store.open(&state, &damage));
-    REQUIRE_FALSE(store.dropAfter(3));
+    REQUIRE_FALSE(store.truncateAfter(3));
     CHECK(reopen(files).entries.size() == 3);
     CHECK(reopen(files).term == 3);
     REQUIRE_FALSE(store.append(3, "me", {entryOf(4, 3, "again")}));
--- a/modules/filbert_transport/curve_site.cpp
+++ b/modules/filbert_transport/curve_site.cpp
@@ -30,7 +30,8 @@
         return {};
     }
     const auto found = controllers.find(endpoint);
-    const auto server = found == controllers.end() ? makeCurvePair().publicKey : found->second;
+    const auto server =
+        found == controllers.end() ? generateCurveKeyPair().publicKey : found->second;
     return {publicKey, secretKey, server};
 }
 
@@ -69,7 +70,7 @@
     return site->isEncrypted() ? std::error_code {} : error_kind::Malformed;
 }
 
-curve_pair makeCurvePair()
+curve_key_pair generateCurveKeyPair()
 {
     char publicKey[z85KeyChars + 1] = {};
     char secretKey[z85KeyChars + 1] = {};
@@ -77,8 +78,8 @@
     return {publicKey, secretKey};
 }
 
-connection_guard::connection_guard(event_loop &loop, zmq::context_t &context,
-                                   const std::vector<std::string> &keys)
+curve_authenticator::curve_authenticator(event_loop &loop, zmq::context_t &context,
+                                         const std::vector<std::string> &keys)
     : socket {context, zmq::socket_type::rep}
 {
     for (const auto &key : keys) {
@@ -86,11 +87,11 @@
     }
     socket.set(zmq::sockopt::linger, 0);
     socket.bind("inproc://zeromq.zap.01");
-    loop.wakeOn(socket.get(zmq::sockopt::fd));
+    loop.watchDescriptor(socket.get(zmq::sockopt::fd));
     loop.onWake([this] { return answerOne(); });
 }
 
-bool connection_guard::answerOne()
+bool curve_authenticator::answerOne()
 {
     if ((socket.get(zmq::sockopt::events) & ZMQ_POLLIN) == 0) {
         return false;
--- a/modules/filbert_transport/curve_site.h
+++ b/modules/filbert_transport/curve_site.h
@@ -41,24 +41,24 @@
 std::error_code readCurveSite(const std::string &path, curve_site *site);
 
 /** A new pair of keys. */
-struct curve_pair
+struct curve_key_pair
 {
     std::string publicKey;
     std::string secretKey;
 };
 
 /** @return a random pair, Z85 */
-curve_pair makeCurvePair();
+curve_key_pair generateCurveKeyPair();
 
 /** Lets only listed keys connect to the CURVE servers of a context (ZAP, RFC 27). */
-class connection_guard
+class curve_authenticator
 {
 public:
     /** @param allowed public keys, Z85; must be made before the context's first server */
-    connection_guard(event_loop &loop, zmq::context_t &context,
-                     const std::vector<std::string> &allowed);
-    connection_guard(const connection_guard &) = delete;
-    connection_guard &operator=(const connection_guard &) = delete;
+    curve_authenticator(event_loop &loop, zmq::context_t &context,
+                        const std::vector<std::string> &allowed);
+    curve_authenticator(const curve_authenticator &) = delete;
+    curve_authenticator &operator=(const curve_authenticator &) = delete;
 
 private:
     bool answerOne();
--- a/modules/filbert_transport/dealer_pool.h
+++ b/modules/filbert_transport/dealer_pool.h
@@ -20,7 +20,7 @@
                 const curve_site &site, handler onMessage);
 
     /** Makes the connection to an address if there is none yet. */
-    void prepare(const std::string &address) { clientFor(address); }
+    void connect(const std::string &address) { clientFor(address); }
 
     /** @param address "tcp://IP:port" @return false if there is no connection (yet) */
     bool send(const std::string &address, const std::string &message);
--- a/modules/filbert_transport/event_loop.cpp
+++ b/modules/filbert_transport/event_loop.cpp
@@ -125,12 +125,12 @@
     timers.push_back(std::move(entry));
 }
 
-void event_loop::every(milliseconds period, std::function<void()> action)
+void event_loop::callEvery(milliseconds period, std::function<void()> action)
 {
     addTimer(period, true, std::move(action));
 }
 
-void event_loop::after(milliseconds delay, std::function<void()> action)
+void event_loop::callAfter(milliseconds delay, std::function<void()> action)
 {
     addTimer(delay.count > 0 ? delay : milliseconds {1}, false, std::move(action));
 }
@@ -140,7 +140,7 @@
     wakeActions.push_back(std::move(action));
 }
 
-void event_loop::wakeOn(int descriptor)
+void event_loop::watchDescriptor(int descriptor)
 {
     lws_sock_file_fd_type watched {};
     watched.filefd = dup(descriptor); // the library closes what it watches
@@ -158,7 +158,7 @@
     sigprocmask(SIG_BLOCK, &signals, nullptr);
     const int descriptor = signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC);
     signalDescriptors.push_back(descriptor);
-    wakeOn(descriptor);
+    watchDescriptor(descriptor);
     onWake([descriptor, action = std::move(action)] {
         signalfd_siginfo info {};
         if (read(descriptor, &info, sizeof info) != sizeof info) {
--- a/modules/filbert_transport/event_loop.h
+++ b/modules/filbert_transport/event_loop.h
@@ -34,10 +34,10 @@
         @param period  from one call to the next, in milliseconds, at least 1
         @param action  what to do
     */
-    void every(milliseconds period, std::function<void()> action);
+    void callEvery(milliseconds period, std::function<void()> action);
 
     /** Calls a function once. @param delay in milliseconds @param action what to do */
-    void after(milliseconds delay, std::function<void()> action);
+    void callAfter(milliseconds delay, std::function<void()> action);
 
     /** Calls a function once, later in this turn. @param action what to do */
     void post(std::function<void()> action) { posted.push_back(std::move(action)); }
@@ -52,7 +52,7 @@
 
         @param descriptor  of a socket or signal; a duplicate of it is watched
     */
-    void wakeOn(int descriptor);
+    void watchDescriptor(int descriptor);
 
     /** SIGTERM and SIGINT as a call on the loop. @param action the number of signals so far */
     void onStopSignal(std::function<void(int)> action);
--- a/modules/filbert_transport/http_client.cpp
+++ b/modules/filbert_transport/http_client.cpp
@@ -39,7 +39,7 @@
     http_client *client = nullptr;
     http_call call;
     handler onAnswer;
-    http_answer answer;
+    http_response answer;
     endpoint_state *endpoint = nullptr;
     lws *wsi = nullptr;
     time_point deadline;
@@ -60,7 +60,7 @@
     , usesTls {usesTls}
     , trustedFile {trustedFile}
 {
-    loop.every(deadlinePeriod, [this] { checkDeadlines(); });
+    loop.callEvery(deadlinePeriod, [this] { checkDeadlines(); });
 }
 
 http_client::~http_client()
@@ -76,7 +76,7 @@
     }
 }
 
-void http_client::setConnections(int count)
+void http_client::setMaxConnections(int count)
 {
     connections = std::max(count, 1);
     for (auto &[name, endpoint] : endpoints) {
--- a/modules/filbert_transport/http_client.h
+++ b/modules/filbert_transport/http_client.h
@@ -41,7 +41,7 @@
 class http_client
 {
 public:
-    using handler = std::function<void(std::error_code, http_answer &&)>;
+    using handler = std::function<void(std::error_code, http_response &&)>;
 
     /** @param loop         runs it; outlives the client
         @param connections  the most at one time to one endpoint; calls beyond wait
@@ -64,15 +64,15 @@
     void cancel(std::uint64_t id);
 
     /** Sets how many connections an endpoint gets from now on. @param connections at least 1 */
-    void setConnections(int connections);
+    void setMaxConnections(int connections);
 
     /** Sets how long kept connections to an endpoint are passed over after a call on one of them
        got no answer. As long as they are kept (the default), none is ever used again; shorter,
        those that are silent too cost a time-out each, and the others stay in use. */
-    void setDoubtSpan(milliseconds span) { doubtSpan = span; }
+    void setSuspectPeriod(milliseconds span) { doubtSpan = span; }
 
     /** @return calls that have not ended */
-    std::size_t openCalls() const { return live.size(); }
+    std::size_t pendingCalls() const { return live.size(); }
 
 private:
     struct exchange;
--- a/modules/filbert_transport/http_server.cpp
+++ b/modules/filbert_transport/http_server.cpp
@@ -107,7 +107,7 @@
 struct http_server::session
 {
     http_request request;
-    http_answer answer;
+    http_response answer;
     lws *wsi = nullptr;
     std::size_t expectedBytes = 0;
     std::size_t written = 0;
@@ -141,8 +141,8 @@
     info.protocols = protocols;
     info.vhost_name = "server";
     info.options = LWS_SERVER_OPTION_DISABLE_IPV6; // hosts may have IPv4 only
-    info.keepalive_timeout = limits.idleSeconds;
-    info.timeout_secs = static_cast<unsigned>(limits.idleSeconds);
+    info.keepalive_timeout = limits.idleTimeoutSeconds;
+    info.timeout_secs = static_cast<unsigned>(limits.idleTimeoutSeconds);
     info.user = this;
     if (!tls.certificate.empty()) {
         info.options |=
@@ -231,7 +231,7 @@
     for (const auto &name : headerNames) {
         request.headers.push_back({name, customHeaderOf(wsi, name + ":")});
     }
-    if (sessions.size() > limits.openRequests) {
+    if (sessions.size() > limits.maxPendingRequests) {
         refuse(wsi, open, error_kind::Overloaded);
         return 0;
     }
@@ -240,17 +240,17 @@
         refuse(wsi, open, error_kind::Malformed);
         return 0;
     }
-    const auto bodyBytes = stated.empty() ? 0 : numberOf(stated);
-    if (bodyBytes < 0) {
+    const auto maxBodyBytes = stated.empty() ? 0 : numberOf(stated);
+    if (maxBodyBytes < 0) {
         refuse(wsi, open, error_kind::Malformed);
         return 0;
     }
-    if (static_cast<std::size_t>(bodyBytes) > limits.bodyBytes) {
+    if (static_cast<std::size_t>(maxBodyBytes) > limits.maxBodyBytes) {
         refuse(wsi, open, error_kind::TooLarge);
         return 0;
     }
-    open.expectedBytes = static_cast<std::size_t>(bodyBytes);
-    return bodyBytes == 0 ? onWhole(wsi, user) : 0;
+    open.expectedBytes = static_cast<std::size_t>(maxBodyBytes);
+    return maxBodyBytes == 0 ? onWhole(wsi, user) : 0;
 }
 
 int http_server::onBody(connection *user, const char *data, std::size_t length)
@@ -260,7 +260,7 @@
         return 0;
     }
     auto &request = found->second->request;
-    if (request.body.size() + length > limits.bodyBytes) {
+    if (request.body.size() + length > limits.maxBodyBytes) {
         return -1;
     }
     request.body.append(data, length);
@@ -288,11 +288,11 @@
     open.isWhole = true;
     open.isAnswered = true;
     open.endsConnection = true; // what follows on the connection would be the unread body
-    open.answer = problemAnswer(kind, std::string {errorRow(kind).meaning});
+    open.answer = problemResponse(kind, std::string {errorInfo(kind).description});
     lws_callback_on_writable(wsi);
 }
 
-void http_server::respond(std::uint64_t id, http_answer &&answer)
+void http_server::respond(std::uint64_t id, http_response &&answer)
 {
     const auto found = sessions.find(id);
     if (found == sessions.end()) {
@@ -383,17 +383,17 @@
     }
 }
 
-http_answer problemAnswer(error_kind kind, const std::string &detail, milliseconds retryAfter)
+http_response problemResponse(error_kind kind, const std::string &detail, milliseconds retryAfter)
 {
-    const auto &row = errorRow(kind);
+    const auto &row = errorInfo(kind);
     messages::problem problem;
     problem.set_type("about:blank");
-    problem.set_title(std::string {row.meaning});
+    problem.set_title(std::string {row.description});
     problem.set_status(row.httpStatus);
     problem.set_detail(detail);
     problem.set_kind(std::string {row.name});
     problem.set_outcome(std::string {outcomeName(row.outcome)});
-    http_answer answer;
+    http_response answer;
     answer.status = row.httpStatus;
     answer.contentType = "application/problem+json";
     answer.body = writeJson(problem);
--- a/modules/filbert_transport/http_server.h
+++ b/modules/filbert_transport/http_server.h
@@ -41,13 +41,13 @@
         @param id      of the request
         @param answer  the whole answer
     */
-    void respond(std::uint64_t id, http_answer &&answer);
+    void respond(std::uint64_t id, http_response &&answer);
 
     /** From now on answers end their connections, so that callers move elsewhere. */
-    void closeAfterAnswers() { isClosing = true; }
+    void closeAfterResponses() { isClosing = true; }
 
     /** @return requests that have no answer yet */
-    std::size_t openRequests() const { return sessions.size(); }
+    std::size_t pendingRequests() const { return sessions.size(); }
 
     /** @return answers that have not been written out yet */
     bool isIdle() const { return sessions.empty(); }
@@ -89,6 +89,7 @@
 
 /** The answer for an error, as problem details. @param kind of the closed list @param detail for a
  * person */
-http_answer problemAnswer(error_kind kind, const std::string &detail, milliseconds retryAfter = {});
+http_response problemResponse(error_kind kind, const std::string &detail,
+                              milliseconds retryAfter = {});
 
 } // namespace filbert
--- a/modules/filbert_transport/http_types.h
+++ b/modules/filbert_transport/http_types.h
@@ -54,7 +54,7 @@
 };
 
 /** A whole answer. */
-struct http_answer
+struct http_response
 {
     int status = 200;
     std::string contentType = "application/json";
@@ -65,9 +65,9 @@
 /** Bounds that hold before anything is parsed. */
 struct http_limits
 {
-    std::size_t bodyBytes = 1 << 20;
-    std::size_t openRequests = 20'000;
-    int idleSeconds = 20;
+    std::size_t maxBodyBytes = 1 << 20;
+    std::size_t maxPendingRequests = 20'000;
+    int idleTimeoutSeconds = 20;
 };
 
 /** Files that switch a server to TLS; empty names mean plain HTTP. */
