--- a/modules/filbert_transport/member_sockets.cpp
+++ b/modules/filbert_transport/member_sockets.cpp
@@ -7,12 +7,12 @@
 
 member_sockets::member_sockets(event_loop &loop, zmq::context_t &context,
                                const std::string &identity, const std::string &endpoint,
-                               const curve_site &site, milliseconds silentSpan,
+                               const curve_site &site, milliseconds silenceTimeout,
                                const handler &onMessage)
-    : silentSpan {silentSpan}
+    : silenceTimeout {silenceTimeout}
     , server {loop, context, endpoint, site.serverKeys(),
               [this, onMessage](const std::string &peer, std::string &&text) {
-                  heardAt[peer] = monotonicNow();
+                  lastContactAt[peer] = monotonicNow();
                   onMessage(peer, std::move(text));
               }}
     , clients {loop, context, identity, site, onMessage}
@@ -33,13 +33,13 @@
     server.send(peer, bytes);
 }
 
-void member_sockets::keepConnected(const messages::member &member, time_point now)
+void member_sockets::maintainConnection(const messages::member &member, time_point now)
 {
-    clients.prepare(member.address());
+    clients.connect(member.address());
     // A host whose disk was replaced has two identities at one address for a while.
     auto &quietSince = quietSinceOf[member.address()];
-    quietSince = std::max(quietSince, heardAt[member.identity()]);
-    if (now - quietSince < silentSpan) {
+    quietSince = std::max(quietSince, lastContactAt[member.identity()]);
+    if (now - quietSince < silenceTimeout) {
         return;
     }
     quietSince = now;
--- a/modules/filbert_transport/member_sockets.h
+++ b/modules/filbert_transport/member_sockets.h
@@ -17,11 +17,11 @@
     /** @param identity    of this controller's log
         @param endpoint    "tcp://IP:port" to listen at
         @param site        keys of the connections
-        @param silentSpan  a controller that is not heard for this long gets a new connection
+        @param silenceTimeout  a controller that is not heard for this long gets a new connection
         @param onMessage   called with the peer's name, or with the address of one that answers on
                            a connection of ours */
     member_sockets(event_loop &loop, zmq::context_t &context, const std::string &identity,
-                   const std::string &endpoint, const curve_site &site, milliseconds silentSpan,
+                   const std::string &endpoint, const curve_site &site, milliseconds silenceTimeout,
                    const handler &onMessage);
 
     /** Sends to a member, or to a peer of its identity where it has no address. What is lost is
@@ -35,11 +35,11 @@
 
         A member that nothing comes from may not hear either, since its connection is silent.
     */
-    void keepConnected(const messages::member &member, time_point now);
+    void maintainConnection(const messages::member &member, time_point now);
 
 private:
-    milliseconds silentSpan;
-    std::map<std::string, time_point> heardAt; // by the peer's name
+    milliseconds silenceTimeout;
+    std::map<std::string, time_point> lastContactAt; // by the peer's name
     std::map<std::string, time_point> quietSinceOf; // by address: last heard or renewed
     message_server server;
     dealer_pool clients;
--- a/modules/filbert_transport/message_socket.cpp
+++ b/modules/filbert_transport/message_socket.cpp
@@ -55,7 +55,7 @@
         socket.set(zmq::sockopt::zap_domain, "filbert");
     }
     socket.bind(endpoint);
-    loop.wakeOn(socket.get(zmq::sockopt::fd));
+    loop.watchDescriptor(socket.get(zmq::sockopt::fd));
     loop.onWake([this] { return drain(); });
 }
 
@@ -114,7 +114,7 @@
         socket.set(zmq::sockopt::curve_serverkey, keys.serverKey);
     }
     socket.connect(endpoint);
-    loop.wakeOn(socket.get(zmq::sockopt::fd));
+    loop.watchDescriptor(socket.get(zmq::sockopt::fd));
     loop.onWake([weak = std::weak_ptr {shared}] {
         const auto held = weak.lock();
         if (!held) {
--- a/modules/filbert_transport/message_socket.h
+++ b/modules/filbert_transport/message_socket.h
@@ -30,7 +30,7 @@
     /** @param loop      runs it; outlives it
         @param context   of the process
         @param endpoint  "tcp://IP:port"
-        @param keys      own keys; a connection_guard says who is let in
+        @param keys      own keys; a curve_authenticator says who is let in
         @param onMessage called for each message
     */
     message_server(event_loop &loop, zmq::context_t &context, const std::string &endpoint,
--- a/modules/filbert_transport/tests/http_test.cpp
+++ b/modules/filbert_transport/tests/http_test.cpp
@@ -59,7 +59,7 @@
     std::unique_ptr<http_server> server;
     server = std::make_unique<http_server>(
         loop, "127.0.0.1", 0, http_limits {}, tls_files {},
-        [&](http_request &&request) { server->respond(request.id, http_answer {}); });
+        [&](http_request &&request) { server->respond(request.id, http_response {}); });
     http_client client {loop, 1};
     int answered = 0;
     std::function<void()> callOnce = [&] {
@@ -67,13 +67,13 @@
         call.endpoint = "127.0.0.1:" + std::to_string(server->port());
         call.body = "{}";
         call.needsNewConnection = true;
-        client.send(std::move(call), [&](std::error_code error, http_answer &&answer) {
+        client.send(std::move(call), [&](std::error_code error, http_response &&answer) {
             CHECK(!error);
             CHECK(answer.status == 200);
             if (++answered < calls) {
                 callOnce();
             } else {
-                loop.after({50}, [&] { loop.stop(); });
+                loop.callAfter({50}, [&] { loop.stop(); });
             }
         });
     };
@@ -92,11 +92,11 @@
     server = std::make_unique<http_server>(loop, "127.0.0.1", 0, http_limits {}, tls_files {},
                                            [&](http_request &&request) {
                                                if (!isMute) {
-                                                   server->respond(request.id, http_answer {});
+                                                   server->respond(request.id, http_response {});
                                                }
                                            });
     http_client client {loop, 2};
-    client.setDoubtSpan({100});
+    client.setSuspectPeriod({100});
     int answered = 0;
     int ended = 0;
     const auto call = [&] {
@@ -104,7 +104,7 @@
         call.endpoint = "127.0.0.1:" + std::to_string(server->port());
         call.body = "{}";
         call.timeout = {150};
-        client.send(std::move(call), [&](std::error_code error, http_answer &&) {
+        client.send(std::move(call), [&](std::error_code error, http_response &&) {
             ++ended;
             answered += error ? 0 : 1;
         });
@@ -112,7 +112,7 @@
     for (int i = 0; i < 4; ++i) {
         call(); // two are sent, two wait behind them; none is answered
     }
-    loop.after({600}, [&] {
+    loop.callAfter({600}, [&] {
         CHECK(ended == 4);
         CHECK(answered == 0);
         isMute = false;
@@ -120,7 +120,7 @@
             call();
         }
     });
-    loop.after({1'000}, [&] { loop.stop(); });
+    loop.callAfter({1'000}, [&] { loop.stop(); });
     loop.run();
     CHECK(ended == 8);
     CHECK(answered == 4);
@@ -140,19 +140,19 @@
         loop, "127.0.0.1", 0, http_limits {},
         tls_files {(folder / "host.pem").string(), (folder / "host.key").string()},
         [&](http_request &&request) {
-            loop.after(libraryGivesUp + milliseconds {1'500},
-                       [&, id = request.id] { server->respond(id, http_answer {}); });
+            loop.callAfter(libraryGivesUp + milliseconds {1'500},
+                           [&, id = request.id] { server->respond(id, http_response {}); });
         });
     http_client client {loop, calls, true, (folder / "authority.pem").string()};
     int answered = 0;
     int ended = 0;
     for (int i = 0; i < calls; ++i) {
-        loop.after({1 + 7 * i}, [&] {
+        loop.callAfter({1 + 7 * i}, [&] {
             http_call call;
             call.endpoint = "127.0.0.1:" + std::to_string(server->port());
             call.body = "{}";
             call.timeout = libraryGivesUp * 3;
-            client.send(std::move(call), [&](std::error_code error, http_answer &&) {
+            client.send(std::move(call), [&](std::error_code error, http_response &&) {
                 answered += error ? 0 : 1;
                 if (++ended == calls) {
                     loop.stop();
@@ -162,7 +162,7 @@
     }
     // Each turn takes longer than the client waits between its looks at deadlines.
     const auto busyUntil = monotonicNow() + libraryGivesUp;
-    loop.every({1}, [&] {
+    loop.callEvery({1}, [&] {
         if (monotonicNow() < busyUntil) {
             std::this_thread::sleep_for(std::chrono::milliseconds {60});
         }
--- a/modules/filbert_work/queue_lookup.cpp
+++ b/modules/filbert_work/queue_lookup.cpp
@@ -38,8 +38,8 @@
 
 } // namespace
 
-const messages::work_queue *queueFor(const messages::work_configuration &configuration,
-                                     const std::string &host, const std::string &path)
+const messages::work_queue *findQueueByPath(const messages::work_configuration &configuration,
+                                            const std::string &host, const std::string &path)
 {
     const messages::work_queue *best = nullptr;
     for (const auto &queue : configuration.queues()) {
@@ -52,8 +52,8 @@
     return best;
 }
 
-const messages::work_team *teamWithKey(const messages::work_configuration &configuration,
-                                       const std::string &key)
+const messages::work_team *findTeamByKey(const messages::work_configuration &configuration,
+                                         const std::string &key)
 {
     for (const auto &team : configuration.teams()) {
         for (const auto &each : team.keys()) {
@@ -65,7 +65,7 @@
     return nullptr;
 }
 
-std::optional<std::string> problemIn(const messages::work_configuration &configuration)
+std::optional<std::string> findProblem(const messages::work_configuration &configuration)
 {
     std::set<std::string> services;
     for (const auto &service : configuration.services()) {
@@ -91,7 +91,7 @@
     return std::nullopt;
 }
 
-std::optional<std::string> problemIn(const messages::staged_job &job)
+std::optional<std::string> findProblem(const messages::staged_job &job)
 {
     if (job.steps().empty() || job.steps_size() > maxSteps) {
         return "expected 1 to " + std::to_string(maxSteps) + " steps";
--- a/modules/filbert_work/queue_lookup.h
+++ b/modules/filbert_work/queue_lookup.h
@@ -8,23 +8,23 @@
 
 /** Finds the queue that serves a request.
     @return the queue of that host with the longest prefix of the path, or nullptr */
-const messages::work_queue *queueFor(const messages::work_configuration &configuration,
-                                     const std::string &host, const std::string &path);
+const messages::work_queue *findQueueByPath(const messages::work_configuration &configuration,
+                                            const std::string &host, const std::string &path);
 
 /** Finds the team that holds a key. Each comparison takes constant time, so that its duration does
     not reveal how much of a key is right.
     @param key  as the client sent it
     @return the team, or nullptr */
-const messages::work_team *teamWithKey(const messages::work_configuration &configuration,
-                                       const std::string &key);
+const messages::work_team *findTeamByKey(const messages::work_configuration &configuration,
+                                         const std::string &key);
 
 /** Validates a configuration: references to services, and that paths and keys are unique.
 
     @return what is wrong with it, or nothing if it may be applied
 */
-std::optional<std::string> problemIn(const messages::work_configuration &configuration);
+std::optional<std::string> findProblem(const messages::work_configuration &configuration);
 
 /** Validates a job before it is accepted. @return what is wrong with it, or nothing */
-std::optional<std::string> problemIn(const messages::staged_job &job);
+std::optional<std::string> findProblem(const messages::staged_job &job);
 
 } // namespace filbert
--- a/modules/filbert_work/task_name.cpp
+++ b/modules/filbert_work/task_name.cpp
@@ -5,17 +5,17 @@
 
 namespace filbert {
 
-std::string stepTextOf(const task_name &name)
+std::string stepToString(const task_name &name)
 {
     return name.job + '.' + std::to_string(name.occurrence) + '.' + std::to_string(name.step);
 }
 
-std::string textOf(const task_name &name)
+std::string toString(const task_name &name)
 {
-    return stepTextOf(name) + '.' + std::to_string(name.index);
+    return stepToString(name) + '.' + std::to_string(name.index);
 }
 
-std::optional<task_name> taskNameFrom(std::string_view text)
+std::optional<task_name> parseTaskName(std::string_view text)
 {
     task_name name;
     const std::array<std::uint32_t *, 3> numbers {&name.index, &name.step, &name.occurrence};
@@ -39,7 +39,7 @@
     return name;
 }
 
-messages::task_reference referenceTo(const task_name &name)
+messages::task_reference toTaskReference(const task_name &name)
 {
     messages::task_reference reference;
     reference.set_job(name.job);
@@ -49,7 +49,7 @@
     return reference;
 }
 
-task_name nameOf(const messages::task_reference &reference)
+task_name toTaskName(const messages::task_reference &reference)
 {
     return {reference.job(), reference.occurrence(), reference.step(), reference.index()};
 }
--- a/modules/filbert_work/task_name.h
+++ b/modules/filbert_work/task_name.h
@@ -22,19 +22,19 @@
 };
 
 /** @return the name as text: JOB.OCCURRENCE.STEP.INDEX */
-std::string textOf(const task_name &name);
+std::string toString(const task_name &name);
 
 /** @return the name of the task's step as text: JOB.OCCURRENCE.STEP */
-std::string stepTextOf(const task_name &name);
+std::string stepToString(const task_name &name);
 
-/** Parses what textOf() returns; a job id may contain dots.
+/** Parses what toString() returns; a job id may contain dots.
     @return the name, or nothing if the text is not the name of a task */
-std::optional<task_name> taskNameFrom(std::string_view text);
+std::optional<task_name> parseTaskName(std::string_view text);
 
 /** Converts a name to its protobuf form. */
-messages::task_reference referenceTo(const task_name &name);
+messages::task_reference toTaskReference(const task_name &name);
 
 /** Converts a name from its protobuf form. */
-task_name nameOf(const messages::task_reference &reference);
+task_name toTaskName(const messages::task_reference &reference);
 
 } // namespace filbert
--- a/modules/filbert_work/tests/work_commands_test.cpp
+++ b/modules/filbert_work/tests/work_commands_test.cpp
@@ -81,9 +81,9 @@
     messages::work_command cancel;
     cancel.set_cancel("j");
     cell.apply(cancel);
-    CHECK(cell.state.lives.at("t1").used.milliCores == 4'000);
+    CHECK(cell.state.targets.at("t1").used.milliCores == 4'000);
     cell.end({"j", 0, 0, 0}, 1, "t1", messages::END_STOPPED);
-    CHECK(cell.state.lives.at("t1").used.milliCores == 2'000);
+    CHECK(cell.state.targets.at("t1").used.milliCores == 2'000);
 }
 
 TEST_CASE("a cancelled job starts no more tasks", "[work]")
@@ -120,7 +120,7 @@
     }
     CHECK(cell.statusOf("done") == job_status::Completed);
     CHECK(cell.statusOf("cancelled") == job_status::Cancelled);
-    CHECK(cell.state.lives.at("t1").used.milliCores == 0);
+    CHECK(cell.state.targets.at("t1").used.milliCores == 0);
     CHECK(cell.start({"done", 0, 0, 0}, 2, "t1").error != none);
     CHECK(cell.accept("done", {cell.step(1)}).error == none); // a repetition of the same request
     CHECK(cell.statusOf("done") == job_status::Completed);
@@ -181,7 +181,7 @@
     startAll(2);
     cell.end({"j", 0, 0, 1}, 2, "t1", messages::END_DONE, 4);
     CHECK(cell.statusOf("j") == job_status::Completed);
-    CHECK(cell.state.lives.at("t1").used.milliCores == 4'000);
+    CHECK(cell.state.targets.at("t1").used.milliCores == 4'000);
 }
 
 TEST_CASE("a newer process at an address ends the earlier incarnation, but a late report does not",
@@ -193,12 +193,12 @@
     const task_name task {"j", 0, 0, 0};
     cell.start(task, 1, "t1", 5);
     cell.target("t2", 9, 8'000, "10.0.0.1:80");
-    CHECK(cell.state.lives.at("t1").isOver);
+    CHECK(cell.state.targets.at("t1").hasEnded);
     CHECK(findTask(cell.state, task)->status == task_status::Waiting);
     messages::work_command late;
     *late.mutable_target() = work_fixture::life("t1", 5, 8'000, "10.0.0.1:80");
     CHECK(cell.apply(late).error == conflict);
-    CHECK_FALSE(cell.state.lives.at("t2").isOver);
+    CHECK_FALSE(cell.state.targets.at("t2").hasEnded);
 }
 
 TEST_CASE("runs of an earlier incarnation stay reserved until they have certainly ended", "[work]")
@@ -210,12 +210,12 @@
     cell.start(task, 1, "t1", 5);
     cell.target("t1", 6);
     CHECK(findTask(cell.state, task)->status == task_status::Running);
-    CHECK(cell.state.lives.at("t1").used.milliCores == 2'000);
+    CHECK(cell.state.targets.at("t1").used.milliCores == 2'000);
     cell.end(task, 1, "t1", messages::END_DONE, 1, 5); // a late report of incarnation 5
     CHECK(findTask(cell.state, task)->status == task_status::Running);
     cell.drop(task, 1);
     CHECK(findTask(cell.state, task)->status == task_status::Waiting);
-    CHECK(cell.state.lives.at("t1").used.milliCores == 0);
+    CHECK(cell.state.targets.at("t1").used.milliCores == 0);
 }
 
 TEST_CASE("a success on a newer incarnation than the ordered one counts: it is never run again",
@@ -246,7 +246,7 @@
 {
     work_fixture cell;
     auto configuration = cell.state.configuration;
-    CHECK_FALSE(problemIn(configuration));
+    CHECK_FALSE(findProblem(configuration));
     SECTION("unknown service")
     {
         configuration.mutable_queues(0)->set_service("nobody");
@@ -261,7 +261,7 @@
         team->set_name("other");
         team->add_keys("key-of-desk");
     }
-    CHECK(problemIn(configuration));
+    CHECK(findProblem(configuration));
 }
 
 TEST_CASE("a request goes to the queue with the longest matching path prefix", "[work]")
@@ -272,17 +272,17 @@
     inner->set_name("inner");
     inner->set_host("cell.example");
     inner->set_path_prefix("/quotes/large/");
-    CHECK(queueFor(configuration, "cell.example", "/quotes/abc")->name() == "quotes");
-    CHECK(queueFor(configuration, "cell.example", "/quotes/large/abc")->name() == "inner");
-    CHECK(queueFor(configuration, "other.example", "/quotes/abc") == nullptr);
+    CHECK(findQueueByPath(configuration, "cell.example", "/quotes/abc")->name() == "quotes");
+    CHECK(findQueueByPath(configuration, "cell.example", "/quotes/large/abc")->name() == "inner");
+    CHECK(findQueueByPath(configuration, "other.example", "/quotes/abc") == nullptr);
 }
 
 TEST_CASE("the text form of a task name is parsed back to the same name", "[work]")
 {
     const task_name name {"5c0e7a21d94b36f8", 3, 1, 17};
-    CHECK(taskNameFrom(textOf(name)) == name);
+    CHECK(parseTaskName(toString(name)) == name);
     for (const auto *wrong : {"", "a.b.c", "a.0.1", "a.0.1.x", ".0.1.2", "a.0.1.-2"}) {
-        CHECK_FALSE(taskNameFrom(wrong));
+        CHECK_FALSE(parseTaskName(wrong));
     }
 }
 
@@ -321,22 +321,22 @@
             default:
                 cell.drop(task, run);
             }
-            for (const auto &[id, life] : cell.state.lives) {
-                RC_ASSERT(life.used.milliCores <= life.about.capacity().milli_cores());
+            for (const auto &[id, life] : cell.state.targets) {
+                RC_ASSERT(life.used.milliCores <= life.registration.capacity().milli_cores());
                 RC_ASSERT(life.used.milliCores >= 0);
             }
         }
         work_state read;
-        RC_ASSERT(!readWork(writeWork(cell.state), &read));
-        RC_ASSERT(read.teamUse["desk"] == cell.state.teamUse["desk"]);
-        for (const auto &[id, life] : cell.state.lives) {
-            RC_ASSERT(read.lives.at(id).runs == life.runs);
-            RC_ASSERT(read.lives.at(id).used == life.used);
-            RC_ASSERT(read.lives.at(id).lastEndTaken == life.lastEndTaken);
+        RC_ASSERT(!readWorkState(writeWorkState(cell.state), &read));
+        RC_ASSERT(read.teamUsage["desk"] == cell.state.teamUsage["desk"]);
+        for (const auto &[id, life] : cell.state.targets) {
+            RC_ASSERT(read.targets.at(id).runs == life.runs);
+            RC_ASSERT(read.targets.at(id).used == life.used);
+            RC_ASSERT(read.targets.at(id).lastAppliedEnd == life.lastAppliedEnd);
         }
         for (const auto &[id, job] : cell.state.jobs) {
             RC_ASSERT(read.jobs.at(id).status == job.status);
-            RC_ASSERT(read.jobs.at(id).running == job.running);
+            RC_ASSERT(read.jobs.at(id).runningTasks == job.runningTasks);
         }
     });
 }
--- a/modules/filbert_work/tests/work_fixture.h
+++ b/modules/filbert_work/tests/work_fixture.h
@@ -89,11 +89,11 @@
         return apply(command);
     }
 
-    static messages::work_command startOf(const task_name &task, std::uint32_t run,
-                                          const std::string &target, std::int64_t born = 1)
+    static messages::work_command startCommand(const task_name &task, std::uint32_t run,
+                                               const std::string &target, std::int64_t born = 1)
     {
         messages::work_command command;
-        *command.mutable_start()->mutable_task() = referenceTo(task);
+        *command.mutable_start()->mutable_task() = toTaskReference(task);
         command.mutable_start()->set_run(run);
         command.mutable_start()->set_target(target);
         command.mutable_start()->set_born(born);
@@ -103,12 +103,12 @@
     command_outcome start(const task_name &task, std::uint32_t run, const std::string &target,
                           std::int64_t born = 1)
     {
-        return apply(startOf(task, run, target, born));
+        return apply(startCommand(task, run, target, born));
     }
 
-    static messages::work_command endOf(const task_name &task, std::uint32_t run,
-                                        const std::string &target, messages::end_kind kind,
-                                        std::uint64_t number = 1, std::int64_t born = 1)
+    static messages::work_command endCommand(const task_name &task, std::uint32_t run,
+                                             const std::string &target, messages::end_kind kind,
+                                             std::uint64_t number = 1, std::int64_t born = 1)
     {
         messages::work_command command;
         auto *batch = command.mutable_end();
@@ -116,7 +116,7 @@
         batch->set_born(born);
         batch->set_last_seen(number);
         auto *end = batch->add_ends();
-        *end->mutable_task() = referenceTo(task);
+        *end->mutable_task() = toTaskReference(task);
         end->set_run(run);
         end->set_kind(kind);
         return command;
@@ -125,13 +125,13 @@
     command_outcome end(const task_name &task, std::uint32_t run, const std::string &target,
                         messages::end_kind kind, std::uint64_t number = 1, std::int64_t born = 1)
     {
-        return apply(endOf(task, run, target, kind, number, born));
+        return apply(endCommand(task, run, target, kind, number, born));
     }
 
     command_outcome drop(const task_name &task, std::uint32_t run)
     {
         messages::work_command command;
-        *command.mutable_drop()->mutable_task() = referenceTo(task);
+        *command.mutable_drop()->mutable_task() = toTaskReference(task);
         command.mutable_drop()->set_run(run);
         return apply(command);
     }
--- a/modules/filbert_work/work_commands.cpp
+++ b/modules/filbert_work/work_commands.cpp
@@ -29,7 +29,7 @@
     tasks would make up most of a snapshot. */
 void dropDetailsOfEnded(work_job &job)
 {
-    if (job.isEnded() && job.running == 0) {
+    if (job.hasEnded() && job.runningTasks == 0) {
         job.occurrences.clear();
         job.job.clear_spec();
     }
@@ -47,7 +47,7 @@
     }
     for (const auto &[number, occurrence] : job.occurrences) {
         for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
-            if (!isStepDone(specOf(job, s), occurrence.steps[s])) {
+            if (!isStepDone(stepSpecOf(job, s), occurrence.steps[s])) {
                 return false;
             }
         }
@@ -88,7 +88,7 @@
     if (job == state.jobs.end()) {
         return {error_kind::NotFound, "no such job"};
     }
-    if (!job->second.isEnded()) {
+    if (!job->second.hasEnded()) {
         endJob(state, job->second, job_status::Cancelled, wallMs);
         dropDetailsOfEnded(job->second);
     }
@@ -97,30 +97,30 @@
 
 command_outcome start(work_state &state, const messages::start_run_command &command)
 {
-    const auto name = nameOf(command.task());
+    const auto name = toTaskName(command.task());
     const auto known = state.jobs.find(name.job);
-    if (known != state.jobs.end() && known->second.isEnded()) {
+    if (known != state.jobs.end() && known->second.hasEnded()) {
         return {error_kind::Conflict, "the job has ended"};
     }
     auto *task = findTask(state, name);
-    const auto life = state.lives.find(command.target());
-    if (task == nullptr || life == state.lives.end()) {
+    const auto life = state.targets.find(command.target());
+    if (task == nullptr || life == state.targets.end()) {
         return {error_kind::NotFound, "no such task or target"};
     }
     auto &job = known->second;
     auto &occurrence = job.occurrences.at(name.occurrence);
     auto &step = occurrence.steps[name.step];
-    const auto &spec = specOf(job, name.step);
+    const auto &spec = stepSpecOf(job, name.step);
     const bool isDue =
         !(spec.is_gang() && step.isGangDone) && isStepReady(job, occurrence, name.step);
     if (task->status != task_status::Waiting || command.run() <= task->run || !isDue) {
         return {error_kind::Conflict, "the task is running or done, or its step is not ready"};
     }
-    if (life->second.isOver || life->second.about.born() != command.born()) {
+    if (life->second.hasEnded || life->second.registration.born() != command.born()) {
         return {error_kind::Conflict, "this incarnation of the target has ended"};
     }
-    const auto room = amountsOf(life->second.about.capacity()) - life->second.used;
-    const auto need = reservedBy(spec);
+    const auto room = amountsOf(life->second.registration.capacity()) - life->second.used;
+    const auto need = targetReservation(spec);
     if (need.milliCores > room.milliCores || need.memoryMb > room.memoryMb
         || need.accelerators > room.accelerators) {
         return {error_kind::NoCapacity, "the target has not enough free resources"};
@@ -128,20 +128,20 @@
     task->status = task_status::Running;
     task->run = command.run();
     task->target = command.target();
-    task->born = command.born();
-    ++step.running;
+    task->incarnation = command.born();
+    ++step.runningTasks;
     leavePending(state, job);
     job.hasStarted = true;
     job.status = job_status::Active;
-    bookRun(state, name, task->target, 1);
+    updateReservations(state, name, task->target, 1);
     return {};
 }
 
 /** Releases the resources of a task's run; the task waits again. */
 void release(work_state &state, const task_name &name, work_task &task, step_record &step)
 {
-    bookRun(state, name, task.target, -1);
-    --step.running;
+    updateReservations(state, name, task.target, -1);
+    --step.runningTasks;
     task.status = task_status::Waiting;
     task.target.clear();
 }
@@ -150,7 +150,7 @@
                   std::int64_t wallMs)
 {
     auto &job = state.jobs.at(name.job);
-    const auto &spec = specOf(job, name.step);
+    const auto &spec = stepSpecOf(job, name.step);
     ++task.failures;
     auto failures = task.failures;
     if (spec.is_gang()) {
@@ -161,7 +161,7 @@
         failures = step.gangFailures;
     }
     const bool isGivenUp = !spec.lasts() && failures >= maxAttemptsOf(state, job);
-    if (isGivenUp && !job.isEnded()) {
+    if (isGivenUp && !job.hasEnded()) {
         endJob(state, job, job_status::Failed, wallMs);
     }
 }
@@ -171,11 +171,11 @@
 {
     auto &job = state.jobs.at(name.job);
     task.status = task_status::Done;
-    ++step.done;
-    if (specOf(job, name.step).is_gang()) {
+    ++step.doneTasks;
+    if (stepSpecOf(job, name.step).is_gang()) {
         step.isGangDone = true;
     }
-    if (!job.isEnded() && isComplete(job)) {
+    if (!job.hasEnded() && isComplete(job)) {
         endJob(state, job, job_status::Completed, wallMs);
     }
 }
@@ -183,11 +183,11 @@
 void endRun(work_state &state, const std::string &target, std::int64_t born,
             const messages::run_end &end, std::int64_t wallMs)
 {
-    const auto name = nameOf(end.task());
+    const auto name = toTaskName(end.task());
     auto *task = findTask(state, name);
     // A start order that was sent to an earlier incarnation may have been executed by this one.
     const bool isCurrent = task != nullptr && task->status == task_status::Running
-        && task->run == end.run() && task->target == target && task->born <= born;
+        && task->run == end.run() && task->target == target && task->incarnation <= born;
     if (!isCurrent) {
         return;
     }
@@ -197,7 +197,7 @@
     if (!end.checkpoint().empty()) {
         task->checkpoint = end.checkpoint();
     }
-    const bool lasts = specOf(job, name.step).lasts();
+    const bool lasts = stepSpecOf(job, name.step).lasts();
     if (end.kind() == messages::END_FAILED) {
         countFailure(state, name, *task, step, wallMs);
     } else if (end.kind() == messages::END_DONE && !lasts) {
@@ -209,21 +209,21 @@
 command_outcome end(work_state &state, const messages::end_runs_command &command,
                     std::int64_t wallMs)
 {
-    const auto life = state.lives.find(command.target());
-    if (life == state.lives.end() || life->second.about.born() != command.born()) {
+    const auto life = state.targets.find(command.target());
+    if (life == state.targets.end() || life->second.registration.born() != command.born()) {
         return {error_kind::NotFound, "no such incarnation of the target"};
     }
     for (const auto &each : command.ends()) {
         endRun(state, command.target(), command.born(), each, wallMs);
     }
-    auto &lastEndTaken = state.lives.at(command.target()).lastEndTaken;
-    lastEndTaken = std::max(lastEndTaken, command.last_seen());
+    auto &lastAppliedEnd = state.targets.at(command.target()).lastAppliedEnd;
+    lastAppliedEnd = std::max(lastAppliedEnd, command.last_seen());
     return {};
 }
 
 command_outcome drop(work_state &state, const messages::drop_run_command &command)
 {
-    const auto name = nameOf(command.task());
+    const auto name = toTaskName(command.task());
     auto *task = findTask(state, name);
     if (task == nullptr || task->status != task_status::Running || task->run != command.run()) {
         return {};
@@ -237,7 +237,7 @@
     return {};
 }
 
-void dropAllRuns(work_state &state, life_record &life)
+void dropAllRuns(work_state &state, registered_target &life)
 {
     const auto runs = life.runs;
     for (const auto &name : runs) {
@@ -250,36 +250,38 @@
 
 command_outcome target(work_state &state, const messages::target_life &about)
 {
-    for (auto &[id, other] : state.lives) {
+    for (auto &[id, other] : state.targets) {
         // Only one process can listen at an address at a time, so that a later incarnation there
         // proves that the earlier one has ended.
-        if (id != about.id() && !other.isOver && other.about.address() == about.address()) {
-            if (other.about.born() > about.born()) {
+        if (id != about.id() && !other.hasEnded
+            && other.registration.address() == about.address()) {
+            if (other.registration.born() > about.born()) {
                 return {error_kind::Conflict, "a newer target is registered with this address"};
             }
             dropAllRuns(state, other);
-            other.isOver = true;
+            other.hasEnded = true;
         }
     }
-    auto &life = state.lives[about.id()];
-    if (life.about.born() > about.born() || (life.isOver && life.about.born() == about.born())) {
+    auto &life = state.targets[about.id()];
+    if (life.registration.born() > about.born()
+        || (life.hasEnded && life.registration.born() == about.born())) {
         return {error_kind::Conflict, "this incarnation of the target has ended"};
     }
-    const bool isNewLife = life.about.born() != about.born();
+    const bool isNewLife = life.registration.born() != about.born();
     if (isNewLife) {
-        life.lastEndTaken = 0;
-        life.isOver = false;
+        life.lastAppliedEnd = 0;
+        life.hasEnded = false;
     }
-    life.about = about;
+    life.registration = about;
     return {};
 }
 
 command_outcome targetLeft(work_state &state, const std::string &id)
 {
-    const auto life = state.lives.find(id);
-    if (life != state.lives.end() && !life->second.isOver) {
+    const auto life = state.targets.find(id);
+    if (life != state.targets.end() && !life->second.hasEnded) {
         dropAllRuns(state, life->second);
-        life->second.isOver = true;
+        life->second.hasEnded = true;
     }
     return {};
 }
@@ -287,7 +289,7 @@
 command_outcome begin(work_state &state, const messages::begin_occurrence_command &command)
 {
     const auto job = state.jobs.find(command.job());
-    if (job == state.jobs.end() || job->second.isEnded()) {
+    if (job == state.jobs.end() || job->second.hasEnded()) {
         return {error_kind::NotFound, "no such job"};
     }
     if (command.occurrence() >= occurrencesOf(job->second)
@@ -302,7 +304,7 @@
 {
     for (const auto &id : command.jobs()) {
         const auto job = state.jobs.find(id);
-        if (job != state.jobs.end() && job->second.isEnded() && job->second.running == 0) {
+        if (job != state.jobs.end() && job->second.hasEnded() && job->second.runningTasks == 0) {
             state.jobs.erase(job);
         }
     }
--- a/modules/filbert_work/work_snapshot.cpp
+++ b/modules/filbert_work/work_snapshot.cpp
@@ -16,7 +16,7 @@
         out->set_failures(task.failures);
         out->set_checkpoint(task.checkpoint);
         out->set_target(task.target);
-        out->set_born(task.born);
+        out->set_born(task.incarnation);
     }
 }
 
@@ -66,23 +66,23 @@
 
 } // namespace
 
-std::string writeWork(const work_state &state)
+std::string writeWorkState(const work_state &state)
 {
     messages::work_state_image image;
     *image.mutable_configuration() = state.configuration;
     for (const auto &[id, job] : state.jobs) {
         writeJob(job, image.add_jobs());
     }
-    for (const auto &[id, life] : state.lives) {
+    for (const auto &[id, life] : state.targets) {
         auto *out = image.add_lives();
-        *out->mutable_about() = life.about;
-        out->set_last_seen(life.lastEndTaken);
-        out->set_is_over(life.isOver);
+        *out->mutable_about() = life.registration;
+        out->set_last_seen(life.lastAppliedEnd);
+        out->set_is_over(life.hasEnded);
     }
     return image.SerializeAsString();
 }
 
-std::error_code readWork(const std::string &data, work_state *state)
+std::error_code readWorkState(const std::string &data, work_state *state)
 {
     messages::work_state_image image;
     if (!image.ParseFromString(data)) {
@@ -91,15 +91,15 @@
     *state = {};
     state->configuration = image.configuration();
     for (const auto &life : image.lives()) {
-        auto &record = state->lives[life.about().id()];
-        record.about = life.about();
-        record.lastEndTaken = life.last_seen();
-        record.isOver = life.is_over();
+        auto &record = state->targets[life.about().id()];
+        record.registration = life.about();
+        record.lastAppliedEnd = life.last_seen();
+        record.hasEnded = life.is_over();
     }
     for (const auto &job : image.jobs()) {
         state->jobs.emplace(job.job().id(), readJob(job));
     }
-    deriveAll(*state);
+    rebuildDerivedState(*state);
     return {};
 }
 
--- a/modules/filbert_work/work_state.cpp
+++ b/modules/filbert_work/work_state.cpp
@@ -11,7 +11,7 @@
     return names[static_cast<std::size_t>(status)];
 }
 
-const messages::step_spec &specOf(const work_job &job, std::uint32_t step)
+const messages::step_spec &stepSpecOf(const work_job &job, std::uint32_t step)
 {
     return job.job.steps(static_cast<int>(step));
 }
@@ -41,38 +41,38 @@
     return const_cast<work_task *>(findTask(std::as_const(state), name));
 }
 
-resource_amounts wholeNeedOf(const messages::step_spec &spec)
+resource_amounts taskDemand(const messages::step_spec &spec)
 {
     auto need = amountsOf(spec.need());
     need.slots = 0; // a target's slots bound its requests, not its tasks
     return need;
 }
 
-resource_amounts reservedBy(const messages::step_spec &spec)
+resource_amounts targetReservation(const messages::step_spec &spec)
 {
-    auto need = wholeNeedOf(spec);
+    auto need = taskDemand(spec);
     if (spec.fills_gaps()) {
         need.milliCores = 0;
     }
     return need;
 }
 
-std::int64_t fillCoresOf(const messages::step_spec &spec)
+std::int64_t bestEffortCoresOf(const messages::step_spec &spec)
 {
     return spec.fills_gaps() ? spec.need().milli_cores() : 0;
 }
 
 bool isStepDone(const messages::step_spec &spec, const step_record &step)
 {
-    return (spec.is_gang() && step.isGangDone) || step.done == step.tasks.size();
+    return (spec.is_gang() && step.isGangDone) || step.doneTasks == step.tasks.size();
 }
 
 bool isStepReady(const work_job &job, const occurrence_record &occurrence, std::uint32_t step)
 {
-    const auto &needed = specOf(job, step).depends_on();
+    const auto &needed = stepSpecOf(job, step).depends_on();
     return std::all_of(needed.begin(), needed.end(), [&](std::int32_t each) {
         const auto index = static_cast<std::uint32_t>(each);
-        return isStepDone(specOf(job, index), occurrence.steps[index]);
+        return isStepDone(stepSpecOf(job, index), occurrence.steps[index]);
     });
 }
 
@@ -109,60 +109,61 @@
         && within(use.accelerators, cap.accelerators());
 }
 
-void bookRun(work_state &state, const task_name &name, const std::string &target, int sign)
+void updateReservations(work_state &state, const task_name &name, const std::string &target,
+                        int sign)
 {
     auto &job = state.jobs.at(name.job);
-    const auto &spec = specOf(job, name.step);
-    const auto reserved = reservedBy(spec);
-    const auto whole = wholeNeedOf(spec);
-    auto &life = state.lives.at(target);
-    auto &team = state.teamUse[job.job.team()];
-    const auto fill = fillCoresOf(spec);
+    const auto &spec = stepSpecOf(job, name.step);
+    const auto reserved = targetReservation(spec);
+    const auto whole = taskDemand(spec);
+    auto &life = state.targets.at(target);
+    auto &team = state.teamUsage[job.job.team()];
+    const auto fill = bestEffortCoresOf(spec);
     if (sign > 0) {
         life.runs.insert(name);
         life.used += reserved;
-        life.fillCores += fill;
-        life.serving += spec.latency_target_ms() > 0 ? 1 : 0;
+        life.bestEffortCores += fill;
+        life.latencySensitiveRuns += spec.latency_target_ms() > 0 ? 1 : 0;
         team += whole;
-        ++job.running;
+        ++job.runningTasks;
         return;
     }
     life.runs.erase(name);
     life.used -= reserved;
-    life.fillCores -= fill;
-    life.serving -= spec.latency_target_ms() > 0 ? 1 : 0;
+    life.bestEffortCores -= fill;
+    life.latencySensitiveRuns -= spec.latency_target_ms() > 0 ? 1 : 0;
     team -= whole;
-    --job.running;
+    --job.runningTasks;
 }
 
-void deriveAll(work_state &state)
+void rebuildDerivedState(work_state &state)
 {
-    state.teamUse.clear();
+    state.teamUsage.clear();
     state.pendingByQueue.clear();
-    for (auto &[id, life] : state.lives) {
+    for (auto &[id, life] : state.targets) {
         life.runs.clear();
         life.used = {};
-        life.fillCores = 0;
-        life.serving = 0;
+        life.bestEffortCores = 0;
+        life.latencySensitiveRuns = 0;
     }
     for (auto &[id, job] : state.jobs) {
-        job.running = 0;
+        job.runningTasks = 0;
         for (auto &[number, occurrence] : job.occurrences) {
             for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
                 auto &step = occurrence.steps[s];
-                step.done = 0;
-                step.running = 0;
+                step.doneTasks = 0;
+                step.runningTasks = 0;
                 for (std::uint32_t i = 0; i < step.tasks.size(); ++i) {
                     const auto &task = step.tasks[i];
-                    step.done += task.status == task_status::Done ? 1 : 0;
+                    step.doneTasks += task.status == task_status::Done ? 1 : 0;
                     if (task.status == task_status::Running) {
-                        ++step.running;
-                        bookRun(state, {id, number, s, i}, task.target, 1);
+                        ++step.runningTasks;
+                        updateReservations(state, {id, number, s, i}, task.target, 1);
                     }
                 }
             }
         }
-        if (!job.hasStarted && !job.isEnded()) {
+        if (!job.hasStarted && !job.hasEnded()) {
             ++state.pendingByQueue[job.job.queue()];
         }
     }
--- a/modules/filbert_work/work_state.h
+++ b/modules/filbert_work/work_state.h
@@ -28,15 +28,15 @@
     std::uint32_t failures = 0; // runs that failed
     std::string checkpoint; // the newest known one; if empty, the next run starts from scratch
     std::string target; // id of the current run's target, while Running
-    std::int64_t born = 0; // incarnation of the target for which the run was started
+    std::int64_t incarnation = 0; // incarnation of the target for which the run was started
 };
 
 /** The progress of one step in one occurrence of a job. */
 struct step_record
 {
     std::vector<work_task> tasks;
-    std::uint32_t done = 0; // derived: tasks that are done
-    std::uint32_t running = 0; // derived: tasks that are running
+    std::uint32_t doneTasks = 0; // derived: tasks that are done
+    std::uint32_t runningTasks = 0; // derived: tasks that are running
     bool isGangDone = false; // the success of one member completes a gang
     std::uint32_t gangFailures = 0; // failed runs, whatever the number of members that failed
     std::uint32_t failedRun = 0; // the last run that was counted in gangFailures
@@ -56,10 +56,10 @@
     std::map<std::uint32_t, occurrence_record> occurrences; // those that have begun, by number
     std::int64_t endedWallMs =
         0; // by the wall clock of the leader at that time; 0 until it has ended
-    std::uint32_t running = 0; // derived: tasks that are running, in all occurrences
+    std::uint32_t runningTasks = 0; // derived: tasks that are running, in all occurrences
     bool hasStarted = false; // once a task has started or the job has ended
 
-    bool isEnded() const
+    bool hasEnded() const
     {
         return status == job_status::Completed || status == job_status::Failed
             || status == job_status::Cancelled;
@@ -67,17 +67,18 @@
 };
 
 /** The newest incarnation that is known of one target, and the runs that are charged to it. */
-struct life_record
+struct registered_target
 {
-    messages::target_life about;
-    std::uint64_t lastEndTaken = 0; // number of the last end that was reported and applied
-    bool isOver = false;
+    messages::target_life registration;
+    std::uint64_t lastAppliedEnd = 0; // number of the last end that was reported and applied
+    bool hasEnded = false;
 
     // Derived:
     std::set<task_name> runs; // on this incarnation, or on an earlier one of the same id
     resource_amounts used; // reserved by these runs
-    std::int64_t fillCores = 0; // milli-cores of best-effort steps, which are not part of used
-    int serving = 0; // runs with a latency target
+    std::int64_t bestEffortCores =
+        0; // milli-cores of best-effort steps, which are not part of used
+    int latencySensitiveRuns = 0; // runs with a latency target
 };
 
 /** The whole state of staged jobs, equal on all controllers at the same index of the log.
@@ -89,15 +90,15 @@
 {
     messages::work_configuration configuration;
     std::unordered_map<std::string, work_job> jobs; // by id
-    std::map<std::string, life_record> lives; // by id
+    std::map<std::string, registered_target> targets; // by id
 
     // Derived:
-    std::map<std::string, resource_amounts> teamUse; // by team, of its running tasks
+    std::map<std::string, resource_amounts> teamUsage; // by team, of its running tasks
     std::map<std::string, std::int64_t> pendingByQueue; // accepted jobs that started no task yet
 };
 
 /** @return the specification of a step, which must exist in the job */
-const messages::step_spec &specOf(const work_job &job, std::uint32_t step);
+const messages::step_spec &stepSpecOf(const work_job &job, std::uint32_t step);
 
 /** @return the task, or nullptr if its job, occurrence, step or index does not exist */
 work_task *findTask(work_state &state, const task_name &name);
@@ -107,13 +108,13 @@
 const step_record *findStep(const work_state &state, const task_name &name);
 
 /** @return the resources that a task of the step uses, as they are charged to its team */
-resource_amounts wholeNeedOf(const messages::step_spec &spec);
+resource_amounts taskDemand(const messages::step_spec &spec);
 
 /** @return the resources that a task reserves on its target: no cores in a best-effort step */
-resource_amounts reservedBy(const messages::step_spec &spec);
+resource_amounts targetReservation(const messages::step_spec &spec);
 
 /** @return the milli-cores that a task of a best-effort step uses if they are idle, otherwise 0 */
-std::int64_t fillCoresOf(const messages::step_spec &spec);
+std::int64_t bestEffortCoresOf(const messages::step_spec &spec);
 
 /** @return whether all steps that a step depends on are complete */
 bool isStepReady(const work_job &job, const occurrence_record &occurrence, std::uint32_t step);
@@ -137,10 +138,11 @@
 bool isWithinCap(const resource_amounts &use, const messages::resources &cap);
 
 /** Computes all derived members from the stored ones, after a snapshot was read. */
-void deriveAll(work_state &state);
+void rebuildDerivedState(work_state &state);
 
 /** Reserves the resources of a run on its target and charges them to its team, or releases them.
     @param sign 1 to reserve, -1 to release */
-void bookRun(work_state &state, const task_name &name, const std::string &target, int sign);
+void updateReservations(work_state &state, const task_name &name, const std::string &target,
+                        int sign);
 
 } // namespace filbert
--- a/programs/ctl_configuration.cpp
+++ b/programs/ctl_configuration.cpp
@@ -73,8 +73,8 @@
     if (const int code = fetch("/v1/configuration", &current)) {
         return code;
     }
-    const auto old = partsOf(current.configuration());
-    for (const auto &item : differenceOf(old, partsOf(whole))) {
+    const auto old = itemsOf(current.configuration());
+    for (const auto &item : changesBetween(old, itemsOf(whole))) {
         const char *sign = item.removed() ? "-" : (old.contains(item.key()) ? "~" : "+");
         std::cout << sign << " " << item.key() << "\n";
     }
--- a/programs/ctl_keys.cpp
+++ b/programs/ctl_keys.cpp
@@ -19,7 +19,7 @@
     {
         std::string name;
         std::string address;
-        curve_pair keys;
+        curve_key_pair keys;
     };
     std::vector<site_member> members;
     for (std::size_t i = 2; i < arguments.size(); ++i) {
@@ -30,7 +30,7 @@
             std::cerr << "expected CONTROLLER=IP:PORT or GATEWAY, found " << arguments[i] << "\n";
             return exitUsage;
         }
-        members.push_back({arguments[i].substr(0, equals), address, makeCurvePair()});
+        members.push_back({arguments[i].substr(0, equals), address, generateCurveKeyPair()});
     }
     std::filesystem::create_directories(arguments[1]);
     for (const auto &self : members) {
@@ -94,17 +94,17 @@
                      " | keys tls FOLDER HOST=IP...\n";
         return exitUsage;
     }
-    const auto made = makeKey(arguments[1]);
+    const auto made = generateKey(arguments[1]);
     if (isJson()) {
-        std::cout << R"({"token":")" << made.token << R"(","stored":)" << writeJson(made.stored)
+        std::cout << R"({"token":")" << made.token << R"(","stored":)" << writeJson(made.storedKey)
                   << "}\n";
         return exitDone;
     }
     std::cout << "token: " << made.token << "\n"
-              << "stored: {id: " << made.stored.id() << ", salt: " << made.stored.salt()
-              << ", hash: " << made.stored.hash() << "}\n"
-              << "bootstrap: " << made.stored.id() << ":" << made.stored.salt() << ":"
-              << made.stored.hash() << "\n";
+              << "stored: {id: " << made.storedKey.id() << ", salt: " << made.storedKey.salt()
+              << ", hash: " << made.storedKey.hash() << "}\n"
+              << "bootstrap: " << made.storedKey.id() << ":" << made.storedKey.salt() << ":"
+              << made.storedKey.hash() << "\n";
     return exitDone;
 }
 
--- a/programs/filbert_controller.cpp
+++ b/programs/filbert_controller.cpp
@@ -32,8 +32,8 @@
 
 constexpr std::size_t identityBytes = 8;
 constexpr milliseconds tickPeriod {10};
-constexpr milliseconds silentSpan {400}; // four heartbeats
-constexpr int exitWrongSettings = 2;
+constexpr milliseconds silenceTimeout {400}; // four heartbeats
+constexpr int exitInvalidSettings = 2;
 constexpr int exitStorage = 3;
 
 /** Carries a controller's messages over ZeroMQ. */
@@ -44,7 +44,7 @@
                   const std::string &endpoint, const curve_site &site,
                   const member_sockets::handler &onMessage)
         : identity {identity}
-        , sockets {loop, context, identity, endpoint, site, silentSpan, onMessage}
+        , sockets {loop, context, identity, endpoint, site, silenceTimeout, onMessage}
     {
     }
 
@@ -62,9 +62,9 @@
         sockets.sendToPeer(gateway, envelope.SerializeAsString());
     }
 
-    void keepConnected(const messages::member &member)
+    void maintainConnection(const messages::member &member)
     {
-        sockets.keepConnected(member, monotonicNow());
+        sockets.maintainConnection(member, monotonicNow());
     }
 
 private:
@@ -89,7 +89,7 @@
         self.set_identity(identity);
         self.set_name(FLAGS_name);
         self.set_address("tcp://" + (FLAGS_advertise.empty() ? FLAGS_listen : FLAGS_advertise));
-        if (store.append(1, "", {makeFirstEntry(self)})) {
+        if (store.append(1, "", {makeBootstrapEntry(self)})) {
             return exitStorage;
         }
     }
@@ -118,13 +118,13 @@
                   "--election_timeout_ms: expected at least 4 times --heartbeat_ms (10 or more)");
     check.require(FLAGS_snapshot_entries > 0, "--snapshot_entries: expected a number above 0");
     check.require(FLAGS_target_lease_ms >= 1'000, "--target_lease_ms: expected at least 1000");
-    return check.isAllRight();
+    return check.isValid();
 }
 
 void answerHealth(http_server &server, const http_request &request, const controller &running,
                   const std::string &identity)
 {
-    http_answer answer;
+    http_response answer;
     answer.contentType = "text/plain";
     const auto &log = running.view().log;
     if (request.path == "/metrics") {
@@ -134,10 +134,10 @@
         answer.status = request.path == "/healthz" || hasLeader ? 200 : 503;
         answer.body = "identity " + identity + "\nrole " + std::string {roleName(log.role)}
             + "\nleader " + log.leader + "\nterm " + std::to_string(log.term) + "\ncommit "
-            + std::to_string(log.commit) + "\nmembers " + std::to_string(log.members.members_size())
-            + "\n";
+            + std::to_string(log.commitIndex) + "\nmembers "
+            + std::to_string(log.membership.members_size()) + "\n";
     } else {
-        answer = problemAnswer(error_kind::NotFound, request.path);
+        answer = problemResponse(error_kind::NotFound, request.path);
     }
     server.respond(request.id, std::move(answer));
 }
@@ -151,11 +151,11 @@
     settings.targetLease = {FLAGS_target_lease_ms};
     replication_settings replication;
     replication.electionTimeout = {FLAGS_election_timeout_ms};
-    replication.heartbeat = {FLAGS_heartbeat_ms};
+    replication.heartbeatPeriod = {FLAGS_heartbeat_ms};
     std::unique_ptr<controller> running;
-    std::unique_ptr<connection_guard> guard;
+    std::unique_ptr<curve_authenticator> guard;
     if (site.isEncrypted()) {
-        guard = std::make_unique<connection_guard>(loop, context, site.allowed);
+        guard = std::make_unique<curve_authenticator>(loop, context, site.allowed);
     }
     socket_outbox outbox {loop,
                           context,
@@ -165,7 +165,7 @@
                           [&](const std::string &peer, std::string &&text) {
                               messages::envelope envelope;
                               if (running && envelope.ParseFromString(text)) {
-                                  running->takeMessage(peer, envelope, monotonicNow());
+                                  running->handleMessage(peer, envelope, monotonicNow());
                               }
                           }};
     const auto seed = std::hash<std::string> {}(stored.identity);
@@ -178,15 +178,15 @@
         [&](http_request &&request) { answerHealth(*server, request, *running, stored.identity); });
     if (!server->isListening()) {
         log_line {"listen_failed", log_line::severity::Error}.with("address", FLAGS_http);
-        return exitWrongSettings;
+        return exitInvalidSettings;
     }
     int exitCode = 0;
     time_point stopBy;
-    loop.every(tickPeriod, [&] {
-        running->takeTime(monotonicNow());
-        for (const auto &member : running->view().log.members.members()) {
+    loop.callEvery(tickPeriod, [&] {
+        running->tick(monotonicNow());
+        for (const auto &member : running->view().log.membership.members()) {
             if (member.identity() != stored.identity) {
-                outbox.keepConnected(member);
+                outbox.maintainConnection(member);
             }
         }
         const bool isDone = running->isReadyToStop() || monotonicNow() >= stopBy;
@@ -228,7 +228,7 @@
     auto problems = readSettings(&argc, &argv, "One controller of a filbertramp cell.");
     startLog(argv[0]);
     if (!areSettingsRight(std::move(problems))) {
-        return exitWrongSettings;
+        return exitInvalidSettings;
     }
     logSettings({"name", "data_folder", "listen", "http", "election_timeout_ms", "heartbeat_ms",
                  "snapshot_entries", "target_lease_ms", "stop_ms"});
@@ -256,7 +256,7 @@
                       : error.message())
             .with("file", damage.file)
             .with("offset", damage.offset)
-            .with("what", damage.what);
+            .with("what", damage.description);
         return exitStorage;
     }
     log_line {"opened"}
--- a/programs/filbert_gateway.cpp
+++ b/programs/filbert_gateway.cpp
@@ -31,7 +31,7 @@
 
 constexpr milliseconds tickPeriod {10};
 constexpr milliseconds certificatePeriod {10'000};
-constexpr int exitWrongSettings = 2;
+constexpr int exitInvalidSettings = 2;
 constexpr std::size_t bootstrapParts = 3;
 
 /** Calls of targets over HTTP. */
@@ -64,10 +64,10 @@
 
     void setGateways(int gateways) override
     {
-        client.setConnections(FLAGS_target_connections / gateways);
+        client.setMaxConnections(FLAGS_target_connections / gateways);
     }
 
-    std::size_t openCalls() const { return client.openCalls(); }
+    std::size_t pendingCalls() const { return client.pendingCalls(); }
 
 private:
     event_loop &loop;
@@ -78,7 +78,7 @@
 class server_callers : public caller_port
 {
 public:
-    void respond(std::uint64_t request, http_answer &&answer) override
+    void respond(std::uint64_t request, http_response &&answer) override
     {
         server->respond(request, std::move(answer));
     }
@@ -131,7 +131,7 @@
     }
     check.require(FLAGS_target_connections > 0, "--target_connections: expected a number above 0");
     check.require(FLAGS_max_body_bytes > 0, "--max_body_bytes: expected a number above 0");
-    return check.isAllRight();
+    return check.isValid();
 }
 
 int run()
@@ -145,9 +145,9 @@
     socket_transport transport {
         loop, context, FLAGS_name, site,
         [&](const std::string &address, const messages::envelope &envelope) {
-            running->takeTime(monotonicNow());
-            if (!links->takeAnswer(address, envelope, monotonicNow())) {
-                running->takeOrder(envelope, monotonicNow());
+            running->tick(monotonicNow());
+            if (!links->handleAnswer(address, envelope, monotonicNow())) {
+                running->handleOrder(envelope, monotonicNow());
             }
         }};
     std::vector<std::string> addresses;
@@ -163,32 +163,34 @@
     settings.bootstrapOperator = readBootstrapKey();
     running = std::make_unique<gateway>(settings, *links, callers, targets, metrics);
     http_limits limits;
-    limits.bodyBytes = static_cast<std::size_t>(FLAGS_max_body_bytes);
+    limits.maxBodyBytes = static_cast<std::size_t>(FLAGS_max_body_bytes);
     const auto [address, port] = splitEndpoint(FLAGS_http);
     auto server = std::make_unique<http_server>(
         loop, address, port, limits, tls_files {FLAGS_tls_certificate, FLAGS_tls_private_key},
-        [&](http_request &&request) { running->takeRequest(std::move(request), monotonicNow()); });
+        [&](http_request &&request) {
+            running->handleRequest(std::move(request), monotonicNow());
+        });
     callers.server = server.get();
     if (!server->isListening()) {
         log_line {"listen_failed", log_line::severity::Error}.with("address", FLAGS_http);
-        return exitWrongSettings;
+        return exitInvalidSettings;
     }
     time_point closeAt;
     time_point stopBy;
-    loop.every(tickPeriod, [&] {
+    loop.callEvery(tickPeriod, [&] {
         const auto now = monotonicNow();
-        running->takeTime(now);
+        running->tick(now);
         if (stopBy.ms == 0 || now < closeAt) {
             return;
         }
-        server->closeAfterAnswers();
-        const bool isIdle = server->isIdle() && targets.openCalls() == 0 && links->isIdle();
+        server->closeAfterResponses();
+        const bool isIdle = server->isIdle() && targets.pendingCalls() == 0 && links->isIdle();
         if (isIdle || now >= stopBy) {
             loop.stop();
         }
     });
     if (!FLAGS_tls_certificate.empty()) {
-        loop.every(certificatePeriod, [&] {
+        loop.callEvery(certificatePeriod, [&] {
             if (!server->reloadCertificate()) {
                 log_line {"certificate_reload_failed", log_line::severity::Error};
             }
@@ -202,7 +204,7 @@
         }
         closeAt = monotonicNow() + milliseconds {FLAGS_drain_ms};
         stopBy = closeAt + milliseconds {FLAGS_stop_ms};
-        running->startStopping(monotonicNow());
+        running->startDraining(monotonicNow());
     });
     log_line {"started"}.with("name", FLAGS_name).with("http", FLAGS_http);
     loop.run();
@@ -221,7 +223,7 @@
     auto problems = readSettings(&argc, &argv, "One gateway of a filbertramp cell.");
     startLog(argv[0]);
     if (!areSettingsRight(std::move(problems))) {
-        return exitWrongSettings;
+        return exitInvalidSettings;
     }
     logSettings({"name", "http", "controllers", "tls_certificate", "target_trusted",
                  "target_connections", "drain_ms", "stop_ms", "max_body_bytes"});
--- a/programs/filbertctl.cpp
+++ b/programs/filbertctl.cpp
@@ -49,7 +49,7 @@
     using namespace filbert;
     settings_check check {readSettings(&argc, &argv, usage)};
     startLog(argv[0]);
-    if (!check.isAllRight()) {
+    if (!check.isValid()) {
         return exitUsage;
     }
     const std::vector<std::string> words {argv + 1, argv + argc};
--- a/programs/gateway_connection.cpp
+++ b/programs/gateway_connection.cpp
@@ -30,7 +30,7 @@
         }
         call.body = body;
         call.timeout = {FLAGS_timeout_ms};
-        client.send(std::move(call), [&](std::error_code error, http_answer &&answer) {
+        client.send(std::move(call), [&](std::error_code error, http_response &&answer) {
             result = {error, answer.status, std::move(answer.body)};
             loop.stop();
         });
