--- a/modules/filbert_dispatch/admission_desk.h
+++ b/modules/filbert_dispatch/admission_requests.h
@@ -12,13 +12,13 @@
     The service takes one call at a time from each process, so that calls are spread over the
     registered callers. Some of these are kept free for policies that decide quickly.
 
-    @param step     index 0
-    @param targets  to name in the request, the preferred ones first
-    @param perCall  the maximum number of targets in one call; further ones go into parallel calls
+    @param step        index 0
+    @param targets     to name in the request, the preferred ones first
+    @param maxPerCall  the maximum number of targets in a call; further ones go into parallel calls
 */
 void requestAdmission(dispatch_state &state, const task_name &step,
                       const messages::work_queue &queue, const std::vector<std::string> &targets,
-                      std::size_t perCall, time_point now);
+                      std::size_t maxPerCall, time_point now);
 
 /** Registers a process that can call the policy service, or notes that it is still there.
     @param name     of the process
@@ -29,7 +29,7 @@
                     time_point now);
 
 /** Unregisters a process that stops calling the policy service. It still answers the request that
-   it has. */
+    it has. */
 void unregisterCaller(dispatch_state &state, const std::string &name);
 
 /** Handles the answer of the policy service to a request. */
--- a/modules/filbert_dispatch/dispatch_state.cpp
+++ b/modules/filbert_dispatch/dispatch_state.cpp
@@ -1,8 +1,8 @@
 #include "dispatch_state.h"
 
-#include "admission_desk.h"
+#include "admission_requests.h"
 #include "scheduling.h"
-#include "target_conversation.h"
+#include "target_tracking.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,21 +11,21 @@
 
 namespace {
 
-constexpr milliseconds forgetPeriod {5'000}; // far below the retention of jobs
+constexpr milliseconds cleanupPeriod {5'000}; // far below the retention of jobs
 constexpr std::size_t stepsPerMillisecond = 4; // pending steps that a pass goes through in a ms
 constexpr std::size_t targetsPerMillisecond = 50; // that a pass collects in a ms, each once
-constexpr milliseconds longestPassPause {40}; // a small fraction of the shortest latency objective
-constexpr int idBitsBelowTerm = 32; // leaves 2^32 request ids per term
-constexpr int jobsForgottenAtOnce = 500; // keeps the entry of the log at some 10 kB
+constexpr milliseconds maxPassPause {40}; // a small fraction of the shortest latency objective
+constexpr int requestIdBits = 32; // leaves 2^32 request ids per term
+constexpr int maxJobsPerCleanup = 500; // keeps the entry of the log at some 10 kB
 
-void afterStart(dispatch_state &state, const messages::start_run_command &start, bool refused,
-                time_point now)
+void handleCommittedStart(dispatch_state &state, const messages::start_run_command &start,
+                          bool refused, time_point now)
 {
     const auto task = toTaskName(start.task());
     releaseStart(state, task);
     std::string ticket;
-    if (const auto held = state.reservedTickets.extract(task)) {
-        ticket = held.mapped();
+    if (const auto heldTicket = state.reservedTickets.extract(task)) {
+        ticket = heldTicket.mapped();
     }
     refreshJob(state, task.job, now);
     if (!refused) {
@@ -39,7 +39,8 @@
         .with("target", start.target());
 }
 
-void afterEnds(dispatch_state &state, const messages::end_runs_command &ends, time_point now)
+void handleCommittedEnds(dispatch_state &state, const messages::end_runs_command &ends,
+                         time_point now)
 {
     syncTarget(state, ends.target(), now);
     const auto target = state.targets.find(ends.target());
@@ -62,7 +63,7 @@
 
 /** Updates the view of a target from its record, and the jobs of its runs: if its incarnation has
     ended, their tasks wait again. */
-void syncEnded(dispatch_state &state, const std::string &id, time_point now)
+void syncTargetAndJobs(dispatch_state &state, const std::string &id, time_point now)
 {
     std::set<std::string> jobs;
     const auto target = state.targets.find(id);
@@ -77,23 +78,24 @@
     }
 }
 
-void afterTarget(dispatch_state &state, const messages::target_life &life, time_point now)
+void handleCommittedTarget(dispatch_state &state, const messages::target_life &registration,
+                           time_point now)
 {
-    syncEnded(state, life.id(), now);
+    syncTargetAndJobs(state, registration.id(), now);
     // A new registration may have ended another target at the same address.
     std::vector<std::string> ended;
     for (const auto &[id, target] : state.targets) {
-        const auto known = state.work->targets.find(id);
-        if (known != state.work->targets.end() && known->second.hasEnded) {
+        const auto registered = state.work->targets.find(id);
+        if (registered != state.work->targets.end() && registered->second.hasEnded) {
             ended.push_back(id);
         }
     }
     for (const auto &id : ended) {
-        syncEnded(state, id, now);
+        syncTargetAndJobs(state, id, now);
     }
 }
 
-void beginDue(dispatch_state &state, std::int64_t wallMs)
+void beginDueOccurrences(dispatch_state &state, std::int64_t wallMs)
 {
     for (const auto &[id, view] : state.jobs) {
         const auto &job = state.work->jobs.at(id);
@@ -114,18 +116,18 @@
     }
 }
 
-void forgetEnded(dispatch_state &state, time_point now, std::int64_t wallMs)
+void removeEndedJobs(dispatch_state &state, time_point now, std::int64_t wallMs)
 {
     if (now < state.nextCleanupAt) {
         return;
     }
-    state.nextCleanupAt = now + forgetPeriod;
+    state.nextCleanupAt = now + cleanupPeriod;
     messages::work_command command;
     auto *forget = command.mutable_forget();
     for (const auto &[id, job] : state.work->jobs) {
         const bool isDue = job.hasEnded() && job.runningTasks == 0
             && wallMs - job.endedWallMs > state.settings.jobRetention.count;
-        if (isDue && forget->jobs_size() < jobsForgottenAtOnce) {
+        if (isDue && forget->jobs_size() < maxJobsPerCleanup) {
             forget->add_jobs(id);
         }
     }
@@ -148,13 +150,13 @@
 
 void releaseStart(dispatch_state &state, const task_name &task)
 {
-    const auto planned = state.reservedStarts.find(task);
-    if (planned == state.reservedStarts.end()) {
+    const auto reservation = state.reservedStarts.find(task);
+    if (reservation == state.reservedStarts.end()) {
         return;
     }
     const auto job = state.work->jobs.find(task.job);
-    const auto target = state.targets.find(planned->second);
-    state.reservedStarts.erase(planned);
+    const auto target = state.targets.find(reservation->second);
+    state.reservedStarts.erase(reservation);
     if (job == state.work->jobs.end()) {
         return;
     }
@@ -173,10 +175,10 @@
     state.settings = settings;
     state.work = &work;
     state.term = term;
-    state.lastAdmissionId = term << idBitsBelowTerm; // answers of earlier terms match no request
+    state.lastAdmissionId = term << requestIdBits; // answers of earlier terms match no request
     state.leadingSince = now;
-    state.nextCleanupAt = now + forgetPeriod;
-    for (const auto &[id, life] : work.targets) {
+    state.nextCleanupAt = now + cleanupPeriod;
+    for (const auto &[id, registered] : work.targets) {
         syncTarget(state, id, now);
     }
     for (const auto &[id, job] : work.jobs) {
@@ -184,8 +186,8 @@
             refreshJob(state, id, now);
             const auto age = std::clamp<std::int64_t>(wallMs - job.job.accepted_wall_ms(), 0,
                                                       settings.jobRetention.count);
-            for (auto &[number, begun] : state.jobs[id].occurrenceBegunAt) {
-                begun = job.job.repeat_count() == 0 ? now - milliseconds {age} : now;
+            for (auto &[number, begunAt] : state.jobs[id].occurrenceBegunAt) {
+                begunAt = job.job.repeat_count() == 0 ? now - milliseconds {age} : now;
             }
         }
     }
@@ -205,10 +207,10 @@
         refreshJob(state, command.cancel(), now);
         break;
     case body::kStart:
-        afterStart(state, command.start(), refused, now);
+        handleCommittedStart(state, command.start(), refused, now);
         break;
     case body::kEnd:
-        afterEnds(state, command.end(), now);
+        handleCommittedEnds(state, command.end(), now);
         break;
     case body::kDrop: {
         const auto task = toTaskName(command.drop().task());
@@ -222,10 +224,10 @@
         break;
     }
     case body::kTarget:
-        afterTarget(state, command.target(), now);
+        handleCommittedTarget(state, command.target(), now);
         break;
     case body::kTargetLeft:
-        syncEnded(state, command.target_left(), now);
+        syncTargetAndJobs(state, command.target_left(), now);
         break;
     case body::kBegin:
         refreshJob(state, command.begin().job(), now);
@@ -240,8 +242,8 @@
 void tickDispatch(dispatch_state &state, time_point now, std::int64_t wallMs)
 {
     tickTargets(state, now);
-    beginDue(state, wallMs);
-    forgetEnded(state, now, wallMs);
+    beginDueOccurrences(state, wallMs);
+    removeEndedJobs(state, now, wallMs);
     const bool isDue =
         (state.mayPlaceMore && now >= state.earliestPassAt) || now >= state.nextPassAt;
     if (isDue) {
@@ -249,9 +251,9 @@
         state.nextPassAt = now + state.settings.passPeriod;
         placeWaitingTasks(state, now);
         const auto pause =
-            static_cast<std::int64_t>(state.waitingSteps / stepsPerMillisecond
+            static_cast<std::int64_t>(state.pendingStepCount / stepsPerMillisecond
                                       + state.targets.size() / targetsPerMillisecond);
-        state.earliestPassAt = now + milliseconds {std::min(pause, longestPassPause.count)};
+        state.earliestPassAt = now + milliseconds {std::min(pause, maxPassPause.count)};
     }
     tickAdmissions(state, now);
 }
--- a/modules/filbert_dispatch/dispatch_state.h
+++ b/modules/filbert_dispatch/dispatch_state.h
@@ -20,8 +20,8 @@
     // Outlasts an election (1 s), the first call of a new leader and one lost poll. A target grants
     // no lease longer than its own maximum, see maxTargetLease.
     milliseconds targetLease {5'000};
-    milliseconds maxTargetLease {
-        6'000}; // the longest lease that a target grants; from the settings
+    // The longest lease that a target grants; from the settings.
+    milliseconds maxTargetLease {6'000};
     milliseconds pollWait {1'500}; // a poll returns by then; a lease is longer than two polls
     // Where best-effort runs share a target with latency-sensitive ones.
     milliseconds mixedLoadPollWait {400};
@@ -34,13 +34,13 @@
     milliseconds retryDelay {150}; // between tries of one order; an unreachable target costs little
     // Where answers get lost, short timeouts and a second try cost less than they save.
     milliseconds answerLossWindow {5'000}; // a lost answer counts for that long
-    std::size_t lossyTargetThreshold =
-        2; // that lost an answer; a single one may be at fault itself
+    // How many targets must have lost an answer; a single one may be at fault itself.
+    std::size_t lossyTargetThreshold = 2;
     milliseconds lossyPollWait {250}; // a third of the shortest usual task
     milliseconds lossyPollGracePeriod {150};
     milliseconds lossyStartTimeout {70}; // ten round trips between failure domains
-    milliseconds startRetryPeriod {
-        2'200}; // an unanswered start is withdrawn after that: three tries
+    // An unanswered start is withdrawn after that: three tries.
+    milliseconds startRetryPeriod {2'200};
     milliseconds contactTimeout {3'300}; // two missed reports of 1.5 s: no new work for that target
     milliseconds maxOrderDelay {12'000}; // an unanswered order may still be carried out this late
     milliseconds stallTimeout {2'500}; // without progress; longer than a restore from a checkpoint
@@ -48,8 +48,8 @@
     milliseconds maxQuarantine {12'000};
     int failuresBeforeQuarantine = 3; // in a row, from different jobs
     milliseconds ticketMargin {250}; // a start must reach its target before its ticket expires
-    milliseconds targetTickPeriod {
-        20}; // between ticks of all targets, for what is due by time alone
+    // Between ticks of all targets, for what is due by time alone.
+    milliseconds targetTickPeriod {20};
     milliseconds passPeriod {100}; // between passes while tasks wait and nothing changes
     milliseconds jobRetention {130'000}; // of ended jobs: what the platform requires and a margin
     double urgentHeadroom = 0.08; // fraction of a service's cores kept for its most urgent queue
@@ -63,7 +63,7 @@
     std::uint32_t run = 0;
     run_phase phase = run_phase::Started;
     bool isOrderPending = false; // a start or stop was sent and is not answered yet
-    bool isAbandonmentProposed = false; // the log is to record that the run is over without an end
+    bool isAbandonmentProposed = false; // the log is to record that it ended without a report
     bool mayHaveReachedTarget = true; // some start order may have arrived there
     time_point orderedAt;
     time_point startedAt;
@@ -76,7 +76,7 @@
     time_point lastProgressAt;
     time_point lastListedAt; // when a poll last listed it; 0 = never
     std::int64_t tailLatencyMs = 0; // of a task with a latency target
-    std::int64_t milliCoresInUse = 0; // of any other task, in thousandths
+    std::int64_t milliCoresInUse = 0; // of any other task
     int workRate = 100; // in percent, as last ordered
     std::string checkpoint;
 };
@@ -91,8 +91,8 @@
     std::int64_t leaseExpiresAt = 0; // the latest expiry that was sent, on the target's clock
     time_point previousLeasesExpireBy; // by then all leases of earlier terms have expired
     time_point lastContactAt; // time of the last report or answer
-    time_point
-        lastAnswerAt; // to an order, which shows that the connection works in both directions
+    // Time of the last answer to an order: the connection works in both directions then.
+    time_point lastAnswerAt;
     bool isSuspect = false; // an order got no answer, and neither did any that was sent later
     bool isPollPending = false;
     time_point nextPollAt; // the next poll is sent no earlier
@@ -109,8 +109,8 @@
     time_point quarantinedUntil;
     milliseconds quarantinePeriod;
     std::optional<time_point> leavingSince; // when it reported that it ends
-    time_point leavesAt; // while it drains: it stays until then
-    bool isLeaveProposed = false;
+    time_point drainDeadline; // if it is draining: it stays until then
+    bool isRemovalProposed = false;
     bool isInventoryStale = true; // what it runs and has ended is not fully known
 };
 
@@ -156,8 +156,8 @@
     // By step: the longest path of estimates from the start of the step to the end of the job.
     std::vector<milliseconds> criticalPathFrom;
     milliseconds criticalPath; // of the whole job
-    std::set<std::pair<std::uint32_t, std::uint32_t>>
-        pendingSteps; // (occurrence, step) with waiting tasks
+    // Pairs of occurrence and step, of steps with waiting tasks.
+    std::set<std::pair<std::uint32_t, std::uint32_t>> pendingSteps;
     std::set<std::pair<std::uint32_t, std::uint32_t>> upcomingSteps; // those soon to be pending
 };
 
@@ -274,8 +274,8 @@
     // The next pass even if nothing changes: tickets and quarantines end by time alone.
     time_point nextPassAt;
     time_point earliestPassAt; // many pending steps make a pass long: passes are further apart then
-    std::size_t waitingSteps = 0; // as of the last pass
-    std::uint64_t passes = 0;
+    std::size_t pendingStepCount = 0; // as of the last pass
+    std::uint64_t passCount = 0;
     dispatch_effects effects;
 };
 
--- a/modules/filbert_dispatch/filbert_dispatch.h
+++ b/modules/filbert_dispatch/filbert_dispatch.h
@@ -7,13 +7,14 @@
     which target, follows each run of a task until it has ended, and stops and restarts runs where
     that is needed.
 
-    All of it is plain structs and functions without input or output: each function takes the
-    dispatch_state and the current time, and leaves what has to be done in dispatch_state::effects
-   as commands for the replicated log, orders for targets and requests for the policy service. The
-    caller carries these out and reports the outcome back.
+    All of it is plain structs and functions without input or output, except for log lines. Each
+    function takes the dispatch_state and the current time. What has to be done it leaves in
+    dispatch_state::effects: commands for the replicated log, orders for targets and requests for
+    the policy service. The caller carries these out and reports the outcome back.
 
     Terms:
     - target: a back end that runs tasks. Each start of its process is a new incarnation.
+    - occurrence: one execution of a job; a job may be repeated.
     - run: one attempt to execute a task, numbered per task.
     - order: one call of a target: to start or stop a run, to set its work rate, or a poll.
     - poll: an order that asks what a target runs and which runs have ended there. It renews the
@@ -21,16 +22,19 @@
     - lease: until it expires a target may run its tasks without contact with a leader. Once it has
       surely expired, the runs of a silent target may start elsewhere.
     - quarantine: a period in which a target that keeps failing gets no new work.
-    - ticket: the permission of the policy service to start tasks of a step on a target; admission
-   is the request for it.
+    - ticket: the permission of the policy service to start tasks of a step on a target.
+    - admission: the request to the policy service for tickets.
     - gang: a step whose tasks start together or not at all.
+    - latency-sensitive step: one with a latency target.
+    - best-effort step: one that fills gaps; it reserves no cores and uses those that others leave.
+    - slack: how much later a step could start and its job still end within its objective.
     - placement pass: one walk through all waiting tasks that reserves starts on targets.
 
     Depends on: filbert_core, filbert_work.
 */
 
-#include "admission_desk.h"
+#include "admission_requests.h"
 #include "dispatch_state.h"
 #include "interference.h"
 #include "scheduling.h"
-#include "target_conversation.h"
+#include "target_tracking.h"
--- a/modules/filbert_dispatch/interference.cpp
+++ b/modules/filbert_dispatch/interference.cpp
@@ -10,19 +10,20 @@
 
 // A tail latency is a rough figure from the last half second: the thresholds leave a margin on both
 // sides.
-constexpr double nearTarget = 0.85;
-constexpr double calmTail = 0.6;
-constexpr int paceStep = 25; // percent, upwards: four calm polls until the full work rate
-constexpr int fullPace = 100;
+constexpr double highTailFraction = 0.85;
+constexpr double lowTailFraction = 0.6;
+constexpr int workRateStep = 25; // percent, upwards: four calm polls until the full work rate
+constexpr int fullWorkRate = 100;
 
 } // namespace
 
-int nextWorkRate(double worstTail, int pace)
+int nextWorkRate(double worstTail, int workRate)
 {
-    if (worstTail >= nearTarget) {
-        return pace > fullPace / 2 ? fullPace / 4 : 0;
+    if (worstTail >= highTailFraction) {
+        return workRate > fullWorkRate / 2 ? fullWorkRate / 4 : 0;
     }
-    return worstTail <= calmTail ? std::min(pace + paceStep, fullPace) : pace;
+    return worstTail <= lowTailFraction ? std::min(workRate + workRateStep, fullWorkRate)
+                                        : workRate;
 }
 
 void reviewInterference(dispatch_state &state, tracked_target &target, time_point now)
@@ -36,14 +37,14 @@
                                      / static_cast<double>(spec.latency_target_ms()));
         }
     }
-    const auto &life = state.work->targets.at(target.id);
+    const auto &registered = state.work->targets.at(target.id);
     for (auto &[task, run] : target.runs) {
         const auto &spec = stepSpecOf(state.work->jobs.at(task.job), task.step);
         if (!spec.fills_gaps() || run.phase != run_phase::Started) {
             continue;
         }
-        const auto pace = nextWorkRate(worstTail, run.workRate);
-        if (pace == run.workRate) {
+        const auto newWorkRate = nextWorkRate(worstTail, run.workRate);
+        if (newWorkRate == run.workRate) {
             continue;
         }
         log_line {"pace_changed"}
@@ -51,13 +52,13 @@
             .with("target", target.id)
             .with("worst_tail_share", worstTail)
             .with("from_percent", run.workRate)
-            .with("to_percent", pace);
-        run.workRate = pace;
+            .with("to_percent", newWorkRate);
+        run.workRate = newWorkRate;
         run.lastProgressAt = now;
-        auto order = orderFor(state, target, life, order_kind::SetWorkRate, now);
+        auto order = orderFor(state, target, registered, order_kind::SetWorkRate, now);
         order.task = task;
         order.run = run.run;
-        order.workRate = pace;
+        order.workRate = newWorkRate;
         state.effects.orders.push_back(std::move(order));
     }
 }
--- a/modules/filbert_dispatch/interference.h
+++ b/modules/filbert_dispatch/interference.h
@@ -14,9 +14,9 @@
 /** Decides the work rate of best-effort runs on a target.
 
     @param worstTail  the largest tail latency of a run there, as a fraction of its latency target
-    @param pace       the present work rate in percent
+    @param workRate   the present work rate in percent
     @return the new work rate in percent
 */
-int nextWorkRate(double worstTail, int pace);
+int nextWorkRate(double worstTail, int workRate);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/target_answers.cpp
+++ b/modules/filbert_dispatch/order_answers.cpp
@@ -1,6 +1,6 @@
 #include "interference.h"
-#include "target_conversation.h"
 #include "target_orders.h"
+#include "target_tracking.h"
 
 #include <utility>
 
@@ -9,11 +9,12 @@
 namespace {
 
 // Four polls a second to a target that may be unavailable; a lease outlasts twenty of them.
-constexpr milliseconds lookPauseAfterFault {250};
-constexpr milliseconds stopPause {400}; // nothing waits for a stop; a lease outlasts several tries
+constexpr milliseconds failedPollDelay {250};
+// Nothing waits for a stop; a lease outlasts several tries.
+constexpr milliseconds stopRetryDelay {400};
 
 /** Records that an answer of a target got lost, although the target is available. */
-void noteLostAnswer(dispatch_state &state, const std::string &target, time_point now)
+void recordLostAnswer(dispatch_state &state, const std::string &target, time_point now)
 {
     const bool wasLossy = isLosingAnswers(state);
     state.lostAnswers[target] = now;
@@ -25,46 +26,46 @@
 }
 
 /** Whether the network may be the reason for a missing answer. */
-bool mayBeLost(const dispatch_state &state, order_result result)
+bool mayBeNetworkLoss(const dispatch_state &state, order_result result)
 {
     return result == order_result::Unanswered && isLosingAnswers(state);
 }
 
-bool isFaultOfTarget(order_result result)
+bool isTargetFault(order_result result)
 {
     return result == order_result::Unhealthy || result == order_result::Unreachable
         || result == order_result::Unanswered;
 }
 
-void noteFailure(dispatch_state &state, tracked_target &target, const task_name &task,
-                 const std::string &reason, time_point now)
+void recordFailure(dispatch_state &state, tracked_target &target, const task_name &task,
+                   const std::string &reason, time_point now)
 {
     target.failedJobs.insert(task.job);
-    const auto bound = static_cast<std::size_t>(state.settings.failuresBeforeQuarantine);
-    if (now >= target.quarantinedUntil && target.failedJobs.size() >= bound) {
-        avoid(state, target, reason, now);
+    const auto threshold = static_cast<std::size_t>(state.settings.failuresBeforeQuarantine);
+    if (now >= target.quarantinedUntil && target.failedJobs.size() >= threshold) {
+        quarantineTarget(state, target, reason, now);
     }
 }
 
-void noteSuccess(tracked_target &target)
+void recordSuccess(tracked_target &target)
 {
     target.failedJobs.clear();
     target.quarantinePeriod = {};
 }
 
 /** Handles an order without an answer: either the answer got lost, or the target is silent. */
-void noteSilence(dispatch_state &state, tracked_target &target, const target_order &order,
-                 order_result result, time_point now)
+void handleMissingAnswer(dispatch_state &state, tracked_target &target, const target_order &order,
+                         order_result result, time_point now)
 {
     if (target.lastAnswerAt >= order.sentAt) {
         if (result == order_result::Unanswered) {
-            noteLostAnswer(state, target.id, now);
+            recordLostAnswer(state, target.id, now);
         }
         return;
     }
-    const bool isPatient =
+    const bool isTolerated =
         isLosingAnswers(state) && now - target.lastAnswerAt < lossyPollTimeout(state.settings);
-    if (isPatient || std::exchange(target.isSuspect, true)) {
+    if (isTolerated || std::exchange(target.isSuspect, true)) {
         return;
     }
     // No new work until it answers: usually its process has ended, or its host is disconnected.
@@ -75,8 +76,8 @@
         .with("heard_ms_ago", (now - target.lastContactAt).count);
 }
 
-void answerStart(dispatch_state &state, tracked_target &target, const target_order &order,
-                 order_result result, run_view &run, time_point now)
+void handleStartAnswer(dispatch_state &state, tracked_target &target, const target_order &order,
+                       order_result result, run_view &run, time_point now)
 {
     run.isOrderPending = false;
     if (result == order_result::Done || result == order_result::Superseded) {
@@ -96,19 +97,19 @@
         .with("target", target.id)
         .with("result", resultName(result))
         .with("waited_ms", (now - run.orderedAt).count);
-    if (isFaultOfTarget(result) && !mayBeLost(state, result)) {
-        noteFailure(state, target, order.task, "starts fail there", now);
+    if (isTargetFault(result) && !mayBeNetworkLoss(state, result)) {
+        recordFailure(state, target, order.task, "starts fail there", now);
     }
     run.mayHaveReachedTarget = run.mayHaveReachedTarget || result == order_result::Unanswered
         || result == order_result::RelayLost;
-    const bool mayTryAgain =
-        (result == order_result::Unanswered || result == order_result::Unreachable
-         || result == order_result::RelayLost)
+    const bool canRetry = (result == order_result::Unanswered || result == order_result::Unreachable
+                           || result == order_result::RelayLost)
         && now - run.orderedAt < state.settings.startRetryPeriod;
-    if (mayTryAgain) {
-        const bool isSoon =
+    if (canRetry) {
+        const bool isRetriedSoon =
             isLosingAnswers(state) || now - run.orderedAt < state.settings.startTimeout * 2;
-        run.retryAt = now + (isSoon ? state.settings.initialRetryDelay : state.settings.retryDelay);
+        run.retryAt =
+            now + (isRetriedSoon ? state.settings.initialRetryDelay : state.settings.retryDelay);
         return;
     }
     if (run.mayHaveReachedTarget) {
@@ -118,8 +119,8 @@
     proposeAbandonment(state, order.task, run, target.id, std::string {resultName(result)});
 }
 
-void answerStop(tracked_target &target, const target_order &order, order_result result,
-                time_point now)
+void handleStopAnswer(tracked_target &target, const target_order &order, order_result result,
+                      time_point now)
 {
     if (result == order_result::Done) {
         target.orphanRuns.erase(order.task);
@@ -131,14 +132,14 @@
     auto &run = found->second;
     run.isOrderPending = false;
     if (result != order_result::Done && result != order_result::Superseded) {
-        run.retryAt = now + stopPause;
+        run.retryAt = now + stopRetryDelay;
         return;
     }
     run.confirmedAt = now; // a later poll lists its end, or shows that it is not there
     target.nextPollAt = std::min(target.nextPollAt, now);
 }
 
-void updateRun(const reported_run &report, bool serves, run_view &run, time_point now)
+void updateRun(const reported_run &report, bool isLatencySensitive, run_view &run, time_point now)
 {
     if (run.phase == run_phase::Ordered) {
         run.phase = run_phase::Started;
@@ -153,11 +154,11 @@
     if (!report.checkpoint.empty()) {
         run.checkpoint = report.checkpoint;
     }
-    (serves ? run.tailLatencyMs : run.milliCoresInUse) = report.gauge;
+    (isLatencySensitive ? run.tailLatencyMs : run.milliCoresInUse) = report.gauge;
 }
 
-void takeReportedRuns(dispatch_state &state, tracked_target &target, const order_answer &answer,
-                      std::set<task_name> *present, time_point now)
+void handleReportedRuns(dispatch_state &state, tracked_target &target, const order_answer &answer,
+                        std::set<task_name> *listed, time_point now)
 {
     for (const auto &report : answer.runs) {
         const auto found = target.runs.find(report.task);
@@ -170,35 +171,36 @@
             }
             continue;
         }
-        present->insert(report.task);
+        listed->insert(report.task);
         const auto job = state.work->jobs.find(report.task.job);
-        const bool serves = job != state.work->jobs.end()
+        const bool isLatencySensitive = job != state.work->jobs.end()
             && stepSpecOf(job->second, report.task.step).latency_target_ms() > 0;
-        updateRun(report, serves, found->second, now);
+        updateRun(report, isLatencySensitive, found->second, now);
     }
 }
 
-void takeReportedEnds(dispatch_state &state, tracked_target &target, const registered_target &life,
-                      const order_answer &answer, std::set<task_name> *present, time_point now)
+void handleReportedEnds(dispatch_state &state, tracked_target &target,
+                        const registered_target &registered, const order_answer &answer,
+                        std::set<task_name> *listed, time_point now)
 {
     messages::work_command command;
     auto *batch = command.mutable_end();
-    const auto known = std::max(target.lastProposedEnd, life.lastAppliedEnd);
+    const auto lastKnownEnd = std::max(target.lastProposedEnd, registered.lastAppliedEnd);
     for (const auto &end : answer.ends) {
-        present->insert(end.task);
-        if (end.number <= known) {
+        listed->insert(end.task);
+        if (end.number <= lastKnownEnd) {
             continue;
         }
         batch->set_last_seen(std::max(batch->last_seen(), end.number));
-        auto *out = batch->add_ends();
-        *out->mutable_task() = toTaskReference(end.task);
-        out->set_run(end.run);
-        out->set_kind(end.kind);
-        out->set_checkpoint(end.checkpoint);
+        auto *entry = batch->add_ends();
+        *entry->mutable_task() = toTaskReference(end.task);
+        entry->set_run(end.run);
+        entry->set_kind(end.kind);
+        entry->set_checkpoint(end.checkpoint);
         if (end.kind == messages::END_FAILED) {
-            noteFailure(state, target, end.task, "tasks fail there", now);
+            recordFailure(state, target, end.task, "tasks fail there", now);
         } else if (end.kind == messages::END_DONE) {
-            noteSuccess(target);
+            recordSuccess(target);
         }
     }
     if (batch->ends_size() > 0) {
@@ -210,33 +212,35 @@
 }
 
 /** Handles runs that a target lists neither as running nor as ended. */
-void reviewAbsent(dispatch_state &state, tracked_target &target, const target_order &look,
-                  const std::set<task_name> &present, time_point now)
+void reviewUnlistedRuns(dispatch_state &state, tracked_target &target, const target_order &poll,
+                        const std::set<task_name> &listed, time_point now)
 {
     for (auto &[task, run] : target.runs) {
-        if (present.contains(task) || run.isOrderPending || run.isAbandonmentProposed
+        if (listed.contains(task) || run.isOrderPending || run.isAbandonmentProposed
             || run.phase == run_phase::Ordered) {
             continue;
         }
-        const bool isKnownBefore = run.confirmedAt < look.sentAt && run.confirmedAt.ms > 0;
-        if (run.phase == run_phase::Stopping && isKnownBefore) {
+        const bool wasConfirmedBeforePoll = run.confirmedAt < poll.sentAt && run.confirmedAt.ms > 0;
+        if (run.phase == run_phase::Stopping && wasConfirmedBeforePoll) {
             proposeAbandonment(state, task, run, target.id, "stopped or never started");
-        } else if (run.phase == run_phase::Started && (isKnownBefore || run.confirmedAt.ms == 0)) {
+        } else if (run.phase == run_phase::Started
+                   && (wasConfirmedBeforePoll || run.confirmedAt.ms == 0)) {
             // A start order of the previous leader may still arrive; a stop makes it void.
             requestStop(state, task, "the target does not list it", now);
         }
     }
 }
 
-void answerLook(dispatch_state &state, tracked_target &target, const registered_target &life,
-                const target_order &order, const order_answer &answer, time_point now)
+void handlePollAnswer(dispatch_state &state, tracked_target &target,
+                      const registered_target &registered, const target_order &order,
+                      const order_answer &answer, time_point now)
 {
-    const bool isNewest = order.sentAt == target.pollSentAt;
-    if (isNewest) {
+    const bool isLatestPoll = order.sentAt == target.pollSentAt;
+    if (isLatestPoll) {
         target.isPollPending = false;
-        const bool isRepeatedAtOnce =
-            answer.result == order_result::Done || mayBeLost(state, answer.result);
-        target.nextPollAt = isRepeatedAtOnce ? now : now + lookPauseAfterFault;
+        const bool isPolledAgainAtOnce =
+            answer.result == order_result::Done || mayBeNetworkLoss(state, answer.result);
+        target.nextPollAt = isPolledAgainAtOnce ? now : now + failedPollDelay;
     }
     target.pollAnsweredAt = answer.result == order_result::Done ? now : time_point {};
     if (answer.result != order_result::Done) {
@@ -248,10 +252,10 @@
     }
     target.isInventoryStale = false;
     target.lastAcknowledgedEnd = std::max(target.lastAcknowledgedEnd, order.lastAppliedEnd);
-    std::set<task_name> present;
-    takeReportedRuns(state, target, answer, &present, now);
-    takeReportedEnds(state, target, life, answer, &present, now);
-    reviewAbsent(state, target, order, present, now);
+    std::set<task_name> listed;
+    handleReportedRuns(state, target, answer, &listed, now);
+    handleReportedEnds(state, target, registered, answer, &listed, now);
+    reviewUnlistedRuns(state, target, order, listed, now);
     reviewInterference(state, target, now);
 }
 
@@ -261,36 +265,36 @@
                        time_point now)
 {
     const auto found = state.targets.find(order.target);
-    const auto *life = findRegisteredTarget(state, order.target);
-    if (order.fencingToken != state.term || found == state.targets.end() || life == nullptr) {
+    const auto *registered = findRegisteredTarget(state, order.target);
+    if (order.fencingToken != state.term || found == state.targets.end() || registered == nullptr) {
         return; // from an earlier term, or from a target that has been removed
     }
     auto &target = found->second;
-    const bool isOfThisLife = order.incarnation == target.incarnation
+    const bool isOfThisIncarnation = order.incarnation == target.incarnation
         && (!answer.incarnation || *answer.incarnation == target.incarnation);
-    if (!isOfThisLife) {
+    if (!isOfThisIncarnation) {
         if (order.kind == order_kind::Poll && order.incarnation == target.incarnation) {
             target.isPollPending = false;
             target.pollAnsweredAt = {};
-            target.nextPollAt = now + lookPauseAfterFault;
+            target.nextPollAt = now + failedPollDelay;
         }
         return;
     }
     state.changedTargets.insert(order.target);
-    const bool isCarried = answer.result != order_result::RelayLost;
-    const bool hasAnswered = isCarried && answer.result != order_result::Unanswered
+    const bool isOutcomeKnown = answer.result != order_result::RelayLost;
+    const bool hasAnswered = isOutcomeKnown && answer.result != order_result::Unanswered
         && answer.result != order_result::Unreachable
         && answer.result != order_result::WrongIncarnation;
     if (hasAnswered) {
         if (target.isSuspect) {
-            noteLostAnswer(state, target.id, now); // it was available all the time
+            recordLostAnswer(state, target.id, now); // it was available all the time
         }
         target.lastContactAt = now;
         target.lastAnswerAt = now;
         state.mayPlaceMore = state.mayPlaceMore || target.isSuspect;
         target.isSuspect = false;
-    } else if (isCarried) {
-        noteSilence(state, target, order, answer.result, now);
+    } else if (isOutcomeKnown) {
+        handleMissingAnswer(state, target, order, answer.result, now);
     }
     if (answer.clockMs) {
         updateClock(target, *answer.clockMs, now);
@@ -300,7 +304,7 @@
         const auto run = target.runs.find(order.task);
         if (run != target.runs.end() && run->second.run == order.run) {
             if (run->second.phase == run_phase::Ordered) {
-                answerStart(state, target, order, answer.result, run->second, now);
+                handleStartAnswer(state, target, order, answer.result, run->second, now);
             } else {
                 run->second.isOrderPending = false;
             }
@@ -308,10 +312,10 @@
         break;
     }
     case order_kind::Stop:
-        answerStop(target, order, answer.result, now);
+        handleStopAnswer(target, order, answer.result, now);
         break;
     case order_kind::Poll:
-        answerLook(state, target, *life, order, answer, now);
+        handlePollAnswer(state, target, *registered, order, answer, now);
         break;
     case order_kind::SetWorkRate:
         break; // the next poll shows the effect
--- a/modules/filbert_dispatch/placement_pass.cpp
+++ b/modules/filbert_dispatch/placement_pass.cpp
@@ -1,6 +1,6 @@
 #include "placement_pass.h"
 
-#include "target_conversation.h"
+#include "target_tracking.h"
 
 #include <algorithm>
 
@@ -8,40 +8,43 @@
 
 namespace {
 
-constexpr double fillShare = 0.6; // fraction of its cores that a best-effort task must find unused
+// The fraction of its cores that a best-effort task must find unused.
+constexpr double minUnusedCoreFraction = 0.6;
 
 // Terms of fitCost(). Their unit is an accelerator left idle, which packing is to avoid.
-constexpr double farFromDataCost =
-    20.0; // a task runs half as long again: more than any packing gains
-constexpr double sameTargetCost =
-    4.0; // of long-running tasks: the end of one target must not stop many
 
-bool hasLabel(const placement_candidate &room, const std::string &label)
+// A task that is far from its data runs half as long again: more than any packing gains.
+constexpr double remoteDataCost = 20.0;
+// For long-running tasks of one step: the end of one target must not stop many of them.
+constexpr double sameTargetCost = 4.0;
+
+bool hasLabel(const placement_candidate &candidate, const std::string &label)
 {
-    const auto &labels = room.life->registration.labels();
+    const auto &labels = candidate.registered->registration.labels();
     return label.empty() || std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-void addRoom(service_view &view, tracked_target &target, const registered_target &life)
+void addCandidate(service_view &view, tracked_target &target, const registered_target &registered)
 {
-    placement_candidate room;
-    room.target = &target;
-    room.life = &life;
-    room.capacity = amountsOf(life.registration.capacity());
-    room.free = room.capacity - life.used - target.reservedResources;
-    room.unusedCores = room.free.milliCores - life.bestEffortCores - target.reservedBestEffortCores;
-    const auto &labels = life.registration.labels();
-    room.rack =
+    placement_candidate candidate;
+    candidate.target = &target;
+    candidate.registered = &registered;
+    candidate.capacity = amountsOf(registered.registration.capacity());
+    candidate.free = candidate.capacity - registered.used - target.reservedResources;
+    candidate.unusedCores =
+        candidate.free.milliCores - registered.bestEffortCores - target.reservedBestEffortCores;
+    const auto &labels = registered.registration.labels();
+    candidate.rack =
         labels.size() > 1 ? std::string_view {labels.Get(labels.size() - 1)} : std::string_view {};
-    view.totalCores += room.capacity.milliCores;
-    view.freeCores += std::max<std::int64_t>(room.unusedCores, 0);
-    view.maxFreeCores = std::max(view.maxFreeCores, room.free.milliCores);
-    view.maxFreeAccelerators = std::max(view.maxFreeAccelerators, room.free.accelerators);
+    view.totalCores += candidate.capacity.milliCores;
+    view.freeCores += std::max<std::int64_t>(candidate.unusedCores, 0);
+    view.maxFreeCores = std::max(view.maxFreeCores, candidate.free.milliCores);
+    view.maxFreeAccelerators = std::max(view.maxFreeAccelerators, candidate.free.accelerators);
     view.candidateById.emplace(target.id, view.candidates.size());
-    view.candidates.push_back(room);
+    view.candidates.push_back(candidate);
 }
 
-int countOnTarget(const pending_step &step, const std::string &target)
+int countTasksOnTarget(const pending_step &step, const std::string &target)
 {
     const auto found = step.tasksByTarget.find(target);
     return found == step.tasksByTarget.end() ? 0 : found->second;
@@ -49,10 +52,10 @@
 
 } // namespace
 
-bool fits(const resource_amounts &need, const resource_amounts &room)
+bool fits(const resource_amounts &need, const resource_amounts &free)
 {
-    return need.milliCores <= room.milliCores && need.memoryMb <= room.memoryMb
-        && need.accelerators <= room.accelerators;
+    return need.milliCores <= free.milliCores && need.memoryMb <= free.memoryMb
+        && need.accelerators <= free.accelerators;
 }
 
 service_view &serviceOf(placement_pass &pass, const std::string &service)
@@ -63,10 +66,11 @@
     }
     auto &view = pass.services[service];
     for (auto &[id, target] : pass.state.targets) {
-        const auto life = pass.state.work->targets.find(id);
-        if (life != pass.state.work->targets.end() && life->second.registration.service() == service
-            && acceptsWork(pass.state, target, life->second, pass.now)) {
-            addRoom(view, target, life->second);
+        const auto registered = pass.state.work->targets.find(id);
+        if (registered != pass.state.work->targets.end()
+            && registered->second.registration.service() == service
+            && acceptsWork(pass.state, target, registered->second, pass.now)) {
+            addCandidate(view, target, registered->second);
         }
     }
     for (const auto &queue : pass.state.work->configuration.queues()) {
@@ -90,9 +94,9 @@
             continue;
         }
         name.index = i;
-        const auto planned = pass.state.reservedStarts.find(name);
-        if (planned != pass.state.reservedStarts.end()) {
-            ++counts[planned->second];
+        const auto reservation = pass.state.reservedStarts.find(name);
+        if (reservation != pass.state.reservedStarts.end()) {
+            ++counts[reservation->second];
         }
     }
     return counts;
@@ -103,56 +107,58 @@
     return spec.lasts() || spec.max_per_target() > 0;
 }
 
-bool isEligible(const pending_step &step, const placement_candidate &room)
+bool isEligible(const pending_step &step, const placement_candidate &candidate)
 {
-    return room.reservedRank >= step.rank && fits(step.need, room.capacity)
-        && hasLabel(room, step.spec->required_label());
+    return candidate.reservedRank >= step.rank && fits(step.need, candidate.capacity)
+        && hasLabel(candidate, step.spec->required_label());
 }
 
 bool hasCapacityFor(const placement_pass &pass, const pending_step &step,
-                    const service_view &service, const placement_candidate &room)
+                    const service_view &service, const placement_candidate &candidate)
 {
-    if (!fits(step.need, room.free)) {
+    if (!fits(step.need, candidate.free)) {
         return false;
     }
     const auto &spec = *step.spec;
     if (spec.fills_gaps()) {
-        const auto wanted = static_cast<double>(spec.need().milli_cores()) * fillShare;
-        return room.life->latencySensitiveRuns == 0
-            && static_cast<double>(room.unusedCores) >= wanted;
+        const auto neededCores =
+            static_cast<double>(spec.need().milli_cores()) * minUnusedCoreFraction;
+        return candidate.registered->latencySensitiveRuns == 0
+            && static_cast<double>(candidate.unusedCores) >= neededCores;
     }
     if (spec.latency_target_ms() > 0
-        && room.life->bestEffortCores + room.target->reservedBestEffortCores > 0) {
+        && candidate.registered->bestEffortCores + candidate.target->reservedBestEffortCores > 0) {
         return false;
     }
     if (spec.max_per_target() > 0
-        && countOnTarget(step, room.target->id) >= spec.max_per_target()) {
+        && countTasksOnTarget(step, candidate.target->id) >= spec.max_per_target()) {
         return false;
     }
     const bool isUrgent = step.queue->priority() <= service.urgentPriority;
     if (service.urgentPriority > 0 || isUrgent || spec.lasts()) {
         return true;
     }
-    const auto kept = static_cast<double>(service.totalCores) * pass.state.settings.urgentHeadroom;
-    return static_cast<double>(service.freeCores - spec.need().milli_cores()) >= kept;
+    const auto headroom =
+        static_cast<double>(service.totalCores) * pass.state.settings.urgentHeadroom;
+    return static_cast<double>(service.freeCores - spec.need().milli_cores()) >= headroom;
 }
 
-double fitCost(const pending_step &step, const placement_candidate &room)
+double fitCost(const pending_step &step, const placement_candidate &candidate)
 {
     const auto &spec = *step.spec;
-    const auto cores = std::max<double>(static_cast<double>(room.capacity.milliCores), 1.0);
-    double cost = static_cast<double>(room.free.accelerators - step.need.accelerators);
+    const auto cores = std::max<double>(static_cast<double>(candidate.capacity.milliCores), 1.0);
+    double cost = static_cast<double>(candidate.free.accelerators - step.need.accelerators);
     if (spec.fills_gaps()) {
-        cost -= static_cast<double>(room.unusedCores) / cores;
+        cost -= static_cast<double>(candidate.unusedCores) / cores;
     } else {
-        cost += static_cast<double>(room.free.milliCores - step.need.milliCores) / cores;
-        cost += static_cast<double>(room.life->bestEffortCores) / cores;
+        cost += static_cast<double>(candidate.free.milliCores - step.need.milliCores) / cores;
+        cost += static_cast<double>(candidate.registered->bestEffortCores) / cores;
     }
-    if (!spec.data_rack().empty() && spec.data_rack() != room.rack) {
-        cost += farFromDataCost;
+    if (!spec.data_rack().empty() && spec.data_rack() != candidate.rack) {
+        cost += remoteDataCost;
     }
     if (spec.lasts()) {
-        cost += sameTargetCost * countOnTarget(step, room.target->id);
+        cost += sameTargetCost * countTasksOnTarget(step, candidate.target->id);
     }
     return cost;
 }
@@ -164,16 +170,16 @@
     if (configured == nullptr) {
         return true; // the queue is open to all, so that the job has no team
     }
-    auto use = scaledBy(taskDemand(*step.spec), tasks);
-    const auto add = [&](const std::map<std::string, resource_amounts> &uses) {
-        const auto found = uses.find(team);
-        if (found != uses.end()) {
-            use += found->second;
+    auto usage = scaledBy(taskDemand(*step.spec), tasks);
+    const auto add = [&](const std::map<std::string, resource_amounts> &usageByTeam) {
+        const auto found = usageByTeam.find(team);
+        if (found != usageByTeam.end()) {
+            usage += found->second;
         }
     };
     add(pass.state.work->teamUsage);
     add(pass.state.teamReserved);
-    return isWithinCap(use, configured->cap());
+    return isWithinCap(usage, configured->cap());
 }
 
 const admission_view *admissionOf(const placement_pass &pass, const pending_step &step)
@@ -183,27 +189,27 @@
 }
 
 bool isAdmitted(const pending_step &step, const admission_view *view,
-                const placement_candidate &room)
+                const placement_candidate &candidate)
 {
     return !step.queue->has_admission()
-        || (view != nullptr && view->tickets.contains(room.target->id));
+        || (view != nullptr && view->tickets.contains(candidate.target->id));
 }
 
 void updateReservation(placement_pass &pass, pending_step &step, service_view &service,
-                       placement_candidate &room, const task_name &task, int sign)
+                       placement_candidate &candidate, const task_name &task, int sign)
 {
     const auto cores = step.spec->need().milli_cores();
     if (dependsOnTaskCounts(*step.spec)) {
-        step.tasksByTarget[room.target->id] += sign;
+        step.tasksByTarget[candidate.target->id] += sign;
     }
     if (sign > 0) {
-        reserveStart(pass.state, task, *room.target);
-        room.free -= step.need;
+        reserveStart(pass.state, task, *candidate.target);
+        candidate.free -= step.need;
     } else {
         releaseStart(pass.state, task);
-        room.free += step.need;
+        candidate.free += step.need;
     }
-    room.unusedCores -= sign * cores;
+    candidate.unusedCores -= sign * cores;
     service.freeCores -= sign * cores;
 }
 
--- a/modules/filbert_dispatch/placement_pass.h
+++ b/modules/filbert_dispatch/placement_pass.h
@@ -31,7 +31,7 @@
 struct placement_candidate
 {
     tracked_target *target = nullptr;
-    const registered_target *life = nullptr;
+    const registered_target *registered = nullptr;
     resource_amounts capacity;
     resource_amounts free; // neither used by runs nor reserved for starts
     std::int64_t unusedCores = 0; // those of the free cores that best-effort runs do not use either
@@ -76,15 +76,15 @@
 
 /** Whether a target could take a task of the step if it were empty: by capacity, label and
     reservations, not by policy. */
-bool isEligible(const pending_step &step, const placement_candidate &room);
+bool isEligible(const pending_step &step, const placement_candidate &candidate);
 
 /** Whether a target has free capacity for a task of the step now, also under the rules for
     best-effort and latency-sensitive tasks, tasks per target and urgent headroom. */
 bool hasCapacityFor(const placement_pass &pass, const pending_step &step,
-                    const service_view &service, const placement_candidate &room);
+                    const service_view &service, const placement_candidate &candidate);
 
 /** @return the cost of placing a task of the step on a target; the lowest is the best fit */
-double fitCost(const pending_step &step, const placement_candidate &room);
+double fitCost(const pending_step &step, const placement_candidate &candidate);
 
 /** Whether the job's team stays within its cap if so many more tasks of the step start. */
 bool isWithinTeamCap(const placement_pass &pass, const pending_step &step, std::size_t tasks);
@@ -95,14 +95,14 @@
 /** Whether the step is known to be admitted to a target, or needs no admission.
     @param view  the result of admissionOf() for the step */
 bool isAdmitted(const pending_step &step, const admission_view *view,
-                const placement_candidate &room);
+                const placement_candidate &candidate);
 
 /** Reserves a start on a target, in this pass and in the state, or releases it.
     @param sign  1 to reserve, -1 to release */
 void updateReservation(placement_pass &pass, pending_step &step, service_view &service,
-                       placement_candidate &room, const task_name &task, int sign);
+                       placement_candidate &candidate, const task_name &task, int sign);
 
 /** Whether a need fits into free resources. */
-bool fits(const resource_amounts &need, const resource_amounts &room);
+bool fits(const resource_amounts &need, const resource_amounts &free);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/scheduling.cpp
+++ b/modules/filbert_dispatch/scheduling.cpp
@@ -1,6 +1,6 @@
 #include "scheduling.h"
 
-#include "admission_desk.h"
+#include "admission_requests.h"
 #include "placement_pass.h"
 #include "preemption.h"
 #include "step_order.h"
@@ -13,128 +13,134 @@
 
 namespace {
 
-constexpr std::size_t reservedPart =
-    4; // at most one target in so many is reserved for pending steps
-constexpr std::size_t failuresPerPass = 48; // steps without capacity: 2 ms of processor time
-constexpr std::size_t passesPerTurn = 8; // at most 0.3 s if passes are 40 ms apart
+// At most one target in so many is reserved for pending steps.
+constexpr std::size_t targetsPerReservation = 4;
+constexpr std::size_t maxUnplacedSteps = 48; // steps without capacity: 2 ms of processor time
+constexpr std::size_t passesPerRetry = 8; // at most 0.3 s if passes are 40 ms apart
 constexpr double acceleratorWeight = 1e6; // accelerators count first, then thousandths of a core
 
 /** @return the indices of the candidates with free resources on which the step is admitted now */
-std::vector<std::size_t> candidatesFor(const placement_pass &pass, const pending_step &step,
-                                       const service_view &service)
+std::vector<std::size_t> admittedCandidates(const placement_pass &pass, const pending_step &step,
+                                            const service_view &service)
 {
-    std::vector<std::size_t> rooms;
+    std::vector<std::size_t> indices;
     if (step.need.milliCores > service.maxFreeCores
         || step.need.accelerators > service.maxFreeAccelerators) {
-        return rooms;
+        return indices;
     }
     const auto consider = [&](std::size_t index) {
-        const auto &room = service.candidates[index];
-        if (fits(step.need, room.free) && isEligible(step, room)) {
-            rooms.push_back(index);
+        const auto &candidate = service.candidates[index];
+        if (fits(step.need, candidate.free) && isEligible(step, candidate)) {
+            indices.push_back(index);
         }
     };
     if (!step.queue->has_admission()) {
         for (std::size_t i = 0; i < service.candidates.size(); ++i) {
             consider(i);
         }
-        return rooms;
+        return indices;
     }
     const auto *view = admissionOf(pass, step);
     if (view == nullptr) {
-        return rooms;
+        return indices;
     }
     for (const auto &[id, ticket] : view->tickets) {
-        const bool isGood = isTicketUsable(pass.state, ticket, step.queue->admission(), pass.now);
-        const auto room = isGood ? service.candidateById.find(id) : service.candidateById.end();
-        if (room != service.candidateById.end()) {
-            consider(room->second);
+        const bool isUsable = isTicketUsable(pass.state, ticket, step.queue->admission(), pass.now);
+        const auto candidate =
+            isUsable ? service.candidateById.find(id) : service.candidateById.end();
+        if (candidate != service.candidateById.end()) {
+            consider(candidate->second);
         }
     }
-    return rooms;
+    return indices;
 }
 
-placement_candidate *bestRoom(placement_pass &pass, const pending_step &step, service_view &service,
-                              const std::vector<std::size_t> &candidates,
-                              const std::string_view *rack)
+placement_candidate *bestCandidate(placement_pass &pass, const pending_step &step,
+                                   service_view &service,
+                                   const std::vector<std::size_t> &candidateIndices,
+                                   const std::string_view *rack)
 {
     placement_candidate *best = nullptr;
     double bestCost = 0;
-    for (const auto index : candidates) {
-        auto &room = service.candidates[index];
-        if ((rack != nullptr && room.rack != *rack) || !hasCapacityFor(pass, step, service, room)) {
+    for (const auto index : candidateIndices) {
+        auto &candidate = service.candidates[index];
+        if ((rack != nullptr && candidate.rack != *rack)
+            || !hasCapacityFor(pass, step, service, candidate)) {
             continue;
         }
-        const auto cost = fitCost(step, room);
+        const auto cost = fitCost(step, candidate);
         if (best == nullptr || cost < bestCost) {
-            best = &room;
+            best = &candidate;
             bestCost = cost;
         }
     }
     return best;
 }
 
-void proposeStart(placement_pass &pass, const pending_step &step, const placement_candidate &room,
-                  const task_name &task, std::uint32_t run, const std::string &checkpoint)
+void proposeStart(placement_pass &pass, const pending_step &step,
+                  const placement_candidate &candidate, const task_name &task, std::uint32_t run,
+                  const std::string &checkpoint)
 {
     if (step.queue->has_admission()) {
-        const auto *ticket = findUsableTicket(pass.state, *admissionOf(pass, step),
-                                              step.queue->admission(), room.target->id, pass.now);
+        const auto *ticket =
+            findUsableTicket(pass.state, *admissionOf(pass, step), step.queue->admission(),
+                             candidate.target->id, pass.now);
         FILBERT_INVARIANT(ticket != nullptr, "a start under a policy has a ticket");
         pass.state.reservedTickets[task] = *ticket;
     }
     log_line {"placed"}
         .with("task", toString(task))
         .with("run", run)
-        .with("target", room.target->id)
+        .with("target", candidate.target->id)
         .with("rank", step.rank)
         .with("slack_ms", step.slackMs)
-        .with("room_milli_cores", room.free.milliCores)
-        .with("heard_ms_ago", (pass.now - room.target->lastContactAt).count);
+        .with("room_milli_cores", candidate.free.milliCores)
+        .with("heard_ms_ago", (pass.now - candidate.target->lastContactAt).count);
     messages::work_command command;
     auto *start = command.mutable_start();
     *start->mutable_task() = toTaskReference(task);
     start->set_run(run);
-    start->set_target(room.target->id);
-    start->set_born(room.target->incarnation);
+    start->set_target(candidate.target->id);
+    start->set_born(candidate.target->incarnation);
     start->set_checkpoint(checkpoint);
     pass.state.effects.commands.push_back(std::move(command));
 }
 
 /** Reserves the targets with the most free resources for a step that found no capacity, so that
     work that ranks after it does not take them. */
-void reserveFor(const placement_pass &pass, const pending_step &step, service_view &service,
-                std::size_t tasks)
+void reserveCandidates(const placement_pass &pass, const pending_step &step, service_view &service,
+                       std::size_t tasks)
 {
-    const auto most = service.candidates.size() / reservedPart + 1;
+    const auto maxReserved = service.candidates.size() / targetsPerReservation + 1;
     if (step.spec->fills_gaps() || step.spec->lasts() || step.rank >= lateRankOffset
-        || service.reservedCandidates >= most) {
+        || service.reservedCandidates >= maxReserved) {
         return;
     }
     const auto *view = admissionOf(pass, step);
-    std::vector<std::pair<double, std::size_t>> wanted;
+    std::vector<std::pair<double, std::size_t>> ranked;
     for (std::size_t i = 0; i < service.candidates.size(); ++i) {
-        const auto &room = service.candidates[i];
-        if (isAdmitted(step, view, room) && room.reservedRank == noReservation
-            && isEligible(step, room)) {
-            wanted.emplace_back(-static_cast<double>(room.free.accelerators) * acceleratorWeight
-                                    - static_cast<double>(room.free.milliCores),
+        const auto &candidate = service.candidates[i];
+        if (isAdmitted(step, view, candidate) && candidate.reservedRank == noReservation
+            && isEligible(step, candidate)) {
+            ranked.emplace_back(-static_cast<double>(candidate.free.accelerators)
+                                        * acceleratorWeight
+                                    - static_cast<double>(candidate.free.milliCores),
                                 i);
         }
     }
-    std::sort(wanted.begin(), wanted.end());
-    const auto count = std::min({tasks, wanted.size(), most - service.reservedCandidates});
+    std::sort(ranked.begin(), ranked.end());
+    const auto count = std::min({tasks, ranked.size(), maxReserved - service.reservedCandidates});
     for (std::size_t i = 0; i < count; ++i) {
-        service.candidates[wanted[i].second].reservedRank = step.rank;
+        service.candidates[ranked[i].second].reservedRank = step.rank;
     }
     service.reservedCandidates += count;
 }
 
-void placeSingly(placement_pass &pass, pending_step &step, service_view &service)
+void placeTasks(placement_pass &pass, pending_step &step, service_view &service)
 {
     const auto &record = *findStep(*pass.state.work, step.name);
     std::size_t unplaced = 0;
-    std::optional<std::vector<std::size_t>> candidates;
+    std::optional<std::vector<std::size_t>> candidateIndices;
     for (std::uint32_t i = 0; i < record.tasks.size(); ++i) {
         const auto &task = record.tasks[i];
         if (task.status != task_status::Waiting) {
@@ -148,66 +154,68 @@
         if (!isWithinTeamCap(pass, step, 1)) {
             return; // only the cap of its team is in the way: nothing is reserved for it
         }
-        if (!candidates) {
-            candidates = candidatesFor(pass, step, service);
+        if (!candidateIndices) {
+            candidateIndices = admittedCandidates(pass, step, service);
         }
-        auto *room = unplaced == 0 ? bestRoom(pass, step, service, *candidates, nullptr) : nullptr;
-        if (room == nullptr) {
+        auto *candidate = unplaced == 0
+            ? bestCandidate(pass, step, service, *candidateIndices, nullptr)
+            : nullptr;
+        if (candidate == nullptr) {
             ++unplaced;
             continue;
         }
-        proposeStart(pass, step, *room, name, task.run + 1, task.checkpoint);
-        updateReservation(pass, step, service, *room, name, 1);
+        proposeStart(pass, step, *candidate, name, task.run + 1, task.checkpoint);
+        updateReservation(pass, step, service, *candidate, name, 1);
     }
     if (unplaced > 0) {
         ++service.unplacedSteps;
-        reserveFor(pass, step, service, unplaced);
+        reserveCandidates(pass, step, service, unplaced);
         requestTickets(pass, step, service);
     }
 }
 
-using gang_plan = std::vector<std::pair<task_name, placement_candidate *>>;
+using gang_placement = std::vector<std::pair<task_name, placement_candidate *>>;
 
 /** Reserves a start for each member of a gang, or for none.
     @param rack  to stay in; nullptr = any */
-gang_plan bookGang(placement_pass &pass, pending_step &step, service_view &service,
-                   const std::vector<std::size_t> &candidates, std::size_t members,
-                   const std::string_view *rack)
+gang_placement reserveGang(placement_pass &pass, pending_step &step, service_view &service,
+                           const std::vector<std::size_t> &candidateIndices, std::size_t members,
+                           const std::string_view *rack)
 {
-    gang_plan plan;
+    gang_placement plan;
     for (std::uint32_t i = 0; i < members; ++i) {
         auto name = step.name;
         name.index = i;
-        auto *room = bestRoom(pass, step, service, candidates, rack);
-        if (room == nullptr) {
-            for (const auto &[task, taken] : plan) {
-                updateReservation(pass, step, service, *taken, task, -1);
+        auto *candidate = bestCandidate(pass, step, service, candidateIndices, rack);
+        if (candidate == nullptr) {
+            for (const auto &[task, member] : plan) {
+                updateReservation(pass, step, service, *member, task, -1);
             }
             return {};
         }
-        updateReservation(pass, step, service, *room, name, 1);
-        plan.emplace_back(name, room);
+        updateReservation(pass, step, service, *candidate, name, 1);
+        plan.emplace_back(name, candidate);
     }
     return plan;
 }
 
-gang_plan planGang(placement_pass &pass, pending_step &step, service_view &service,
-                   std::size_t members)
+gang_placement planGangPlacement(placement_pass &pass, pending_step &step, service_view &service,
+                                 std::size_t members)
 {
-    const auto candidates = candidatesFor(pass, step, service);
+    const auto candidateIndices = admittedCandidates(pass, step, service);
     if (step.spec->same_rack()) {
         std::set<std::string_view> racks;
-        for (const auto index : candidates) {
+        for (const auto index : candidateIndices) {
             racks.insert(service.candidates[index].rack);
         }
         for (const auto &rack : racks) {
-            auto plan = bookGang(pass, step, service, candidates, members, &rack);
+            auto plan = reserveGang(pass, step, service, candidateIndices, members, &rack);
             if (!plan.empty()) {
                 return plan;
             }
         }
     }
-    return bookGang(pass, step, service, candidates, members, nullptr);
+    return reserveGang(pass, step, service, candidateIndices, members, nullptr);
 }
 
 void placeGang(placement_pass &pass, pending_step &step, service_view &service)
@@ -217,12 +225,12 @@
         || !isWithinTeamCap(pass, step, record.tasks.size())) {
         return;
     }
-    const auto plan = planGang(pass, step, service, record.tasks.size());
+    const auto plan = planGangPlacement(pass, step, service, record.tasks.size());
     if (plan.empty()) {
         ++service.unplacedSteps;
         const bool isLate = step.rank >= lateRankOffset;
         if (isLate || !preemptFor(pass, step, service, record.tasks.size())) {
-            reserveFor(pass, step, service, record.tasks.size());
+            reserveCandidates(pass, step, service, record.tasks.size());
         }
         requestTickets(pass, step, service);
         return;
@@ -233,8 +241,8 @@
         run = std::max(run, task.run + 1);
         checkpoint = checkpoint.empty() ? task.checkpoint : checkpoint;
     }
-    for (const auto &[task, room] : plan) {
-        proposeStart(pass, step, *room, task, run, checkpoint);
+    for (const auto &[task, candidate] : plan) {
+        proposeStart(pass, step, *candidate, task, run, checkpoint);
     }
 }
 
@@ -243,15 +251,15 @@
 void placeWaitingTasks(dispatch_state &state, time_point now)
 {
     placement_pass pass {state, now, queuesOf(state), {}};
-    ++state.passes;
+    ++state.passCount;
     auto steps = pendingStepsInOrder(state, pass.queues, now);
-    state.waitingSteps = steps.size();
+    state.pendingStepCount = steps.size();
     for (auto &step : steps) {
         auto &service = serviceOf(pass, step.queue->service());
         // After many steps without capacity, each further step is tried only in one of several
         // passes.
-        const bool isSkipped = service.unplacedSteps >= failuresPerPass
-            && (std::hash<std::string> {}(step.name.job) + state.passes) % passesPerTurn != 0;
+        const bool isSkipped = service.unplacedSteps >= maxUnplacedSteps
+            && (std::hash<std::string> {}(step.name.job) + state.passCount) % passesPerRetry != 0;
         if (isSkipped) {
             continue;
         }
@@ -261,7 +269,7 @@
         if (step.spec->is_gang()) {
             placeGang(pass, step, service);
         } else {
-            placeSingly(pass, step, service);
+            placeTasks(pass, step, service);
         }
     }
     for (const auto &[id, view] : state.jobs) {
--- a/modules/filbert_dispatch/scheduling.h
+++ b/modules/filbert_dispatch/scheduling.h
@@ -4,8 +4,7 @@
 
 namespace filbert {
 
-/** Runs a placement pass: decides which waiting tasks start now and where, and proposes their
-   starts.
+/** Runs a placement pass: decides which waiting tasks start now and where, and proposes that.
 
     Work that can still end in time goes before work that is late anyway; within these the priority
     of the queue decides, then the least slack. A task goes to the target that it fits best, so that
--- a/modules/filbert_dispatch/step_order.cpp
+++ b/modules/filbert_dispatch/step_order.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool isOpen(const work_job &job, const occurrence_record &occurrence, std::uint32_t step)
+bool isPending(const work_job &job, const occurrence_record &occurrence, std::uint32_t step)
 {
     const auto &record = occurrence.steps[step];
     const auto &spec = stepSpecOf(job, step);
@@ -19,13 +19,12 @@
     return record.doneTasks + record.runningTasks < record.tasks.size();
 }
 
-/** Whether all tasks of the steps that a step depends on have started, and half of them are done.
- */
-bool isComing(const work_job &job, const occurrence_record &occurrence, std::uint32_t step)
+/** Whether all tasks of the steps that a step depends on have started and half of them are done. */
+bool isUpcoming(const work_job &job, const occurrence_record &occurrence, std::uint32_t step)
 {
-    const auto &needed = stepSpecOf(job, step).depends_on();
+    const auto &dependencies = stepSpecOf(job, step).depends_on();
     return !isStepReady(job, occurrence, step)
-        && std::all_of(needed.begin(), needed.end(), [&](std::int32_t each) {
+        && std::all_of(dependencies.begin(), dependencies.end(), [&](std::int32_t each) {
                const auto index = static_cast<std::uint32_t>(each);
                const auto &record = occurrence.steps[index];
                return isStepDone(stepSpecOf(job, index), record)
@@ -39,22 +38,23 @@
 pending_step pendingStepOf(const dispatch_state &state, const queue_index &queues,
                            const task_name &name, const job_view &view, time_point now)
 {
-    pending_step open;
+    pending_step pending;
     const auto &job = state.work->jobs.at(name.job);
     const auto configured = queues.find(job.job.queue());
-    open.name = name;
-    open.job = &job;
-    open.spec = &stepSpecOf(job, name.step);
-    open.queue = configured == queues.end() ? &job.job.taken_under() : configured->second;
-    open.need = targetReservation(*open.spec);
+    pending.name = name;
+    pending.job = &job;
+    pending.spec = &stepSpecOf(job, name.step);
+    pending.queue = configured == queues.end() ? &job.job.taken_under() : configured->second;
+    pending.need = targetReservation(*pending.spec);
     const auto objective = milliseconds {std::llround(static_cast<double>(view.criticalPath.count)
-                                                      * open.queue->slack_factor())}
-        + milliseconds {open.queue->latency_objective_ms()};
-    const auto left = view.criticalPathFrom[name.step];
-    open.slackMs = (view.occurrenceBegunAt.at(name.occurrence) + objective - now - left).count;
-    const bool isLate = !open.spec->lasts() && open.slackMs < -left.count / 2;
-    open.rank = open.queue->priority() + (isLate ? lateRankOffset : 0);
-    return open;
+                                                      * pending.queue->slack_factor())}
+        + milliseconds {pending.queue->latency_objective_ms()};
+    const auto remaining = view.criticalPathFrom[name.step];
+    pending.slackMs =
+        (view.occurrenceBegunAt.at(name.occurrence) + objective - now - remaining).count;
+    const bool isLate = !pending.spec->lasts() && pending.slackMs < -remaining.count / 2;
+    pending.rank = pending.queue->priority() + (isLate ? lateRankOffset : 0);
+    return pending;
 }
 
 queue_index queuesOf(const dispatch_state &state)
@@ -83,16 +83,17 @@
 
 std::vector<milliseconds> criticalPathsOf(const messages::staged_job &job)
 {
-    std::vector<milliseconds> chains(static_cast<std::size_t>(job.steps_size()));
+    std::vector<milliseconds> paths(static_cast<std::size_t>(job.steps_size()));
     for (int step = job.steps_size() - 1; step >= 0; --step) {
-        auto &chain = chains[static_cast<std::size_t>(step)];
-        chain = chain + milliseconds {job.steps(step).estimate_ms()};
-        for (const auto needed : job.steps(step).depends_on()) {
-            auto &before = chains[static_cast<std::size_t>(needed)];
-            before = std::max(before, chain); // its own estimate is added in its own iteration
+        auto &path = paths[static_cast<std::size_t>(step)];
+        path = path + milliseconds {job.steps(step).estimate_ms()};
+        for (const auto dependency : job.steps(step).depends_on()) {
+            auto &dependencyPath = paths[static_cast<std::size_t>(dependency)];
+            // Its own estimate is added in its own iteration.
+            dependencyPath = std::max(dependencyPath, path);
         }
     }
-    return chains;
+    return paths;
 }
 
 void refreshJob(dispatch_state &state, const std::string &id, time_point now)
@@ -118,9 +119,9 @@
     for (const auto &[number, occurrence] : job->second.occurrences) {
         view.occurrenceBegunAt.emplace(number, now);
         for (std::uint32_t step = 0; step < occurrence.steps.size(); ++step) {
-            if (isOpen(job->second, occurrence, step)) {
+            if (isPending(job->second, occurrence, step)) {
                 view.pendingSteps.emplace(number, step);
-            } else if (isComing(job->second, occurrence, step)) {
+            } else if (isUpcoming(job->second, occurrence, step)) {
                 view.upcomingSteps.emplace(number, step);
             }
         }
--- a/modules/filbert_dispatch/target_orders.cpp
+++ b/modules/filbert_dispatch/target_orders.cpp
@@ -1,6 +1,6 @@
 #include "target_orders.h"
 
-#include "target_conversation.h"
+#include "target_tracking.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,27 +9,28 @@
 
 namespace {
 
-constexpr double slowestRate = 0.97; // a target's clock may be 2 % slow; 1 % is a margin
-constexpr milliseconds answeredSpan {2'000}; // without contact for longer, no lease is renewed
+constexpr double minClockRate = 0.97; // a target's clock may be 2 % slow; 1 % is a margin
+// Without contact for longer, no lease is renewed.
+constexpr milliseconds leaseRenewalTimeout {2'000};
 
-std::int64_t leaseEndFor(const dispatch_state &state, tracked_target &target, time_point now)
+std::int64_t leaseExpiryFor(const dispatch_state &state, tracked_target &target, time_point now)
 {
-    const auto span = std::min(state.settings.targetLease, state.settings.maxTargetLease);
-    const auto until = clockUpperBound(target, now) + span.count;
-    target.leaseExpiresAt = std::max(target.leaseExpiresAt, until);
-    return until;
+    const auto duration = std::min(state.settings.targetLease, state.settings.maxTargetLease);
+    const auto expiresAt = clockUpperBound(target, now) + duration.count;
+    target.leaseExpiresAt = std::max(target.leaseExpiresAt, expiresAt);
+    return expiresAt;
 }
 
 } // namespace
 
 target_order orderFor(const dispatch_state &state, const tracked_target &target,
-                      const registered_target &life, order_kind kind, time_point now)
+                      const registered_target &registered, order_kind kind, time_point now)
 {
     target_order order;
     order.kind = kind;
     order.target = target.id;
     order.incarnation = target.incarnation;
-    order.address = life.registration.address();
+    order.address = registered.registration.address();
     order.fencingToken = state.term;
     order.timeout = state.settings.orderTimeout;
     order.sentAt = now;
@@ -66,60 +67,60 @@
     propose(state, std::move(command));
 }
 
-void sendStart(dispatch_state &state, tracked_target &target, const registered_target &life,
+void sendStart(dispatch_state &state, tracked_target &target, const registered_target &registered,
                const task_name &task, run_view &run, time_point now)
 {
-    auto order = orderFor(state, target, life, order_kind::Start, now);
+    auto order = orderFor(state, target, registered, order_kind::Start, now);
     const auto &job = state.work->jobs.at(task.job);
     order.task = task;
     order.run = run.run;
     order.spec = job.job.spec();
     order.checkpoint = run.checkpoint;
     order.ticket = run.ticket;
-    order.leaseExpiresAt = leaseEndFor(state, target, now);
+    order.leaseExpiresAt = leaseExpiryFor(state, target, now);
     order.timeout =
         isLosingAnswers(state) ? state.settings.lossyStartTimeout : state.settings.startTimeout;
     run.isOrderPending = true;
     state.effects.orders.push_back(std::move(order));
 }
 
-void sendStop(dispatch_state &state, tracked_target &target, const registered_target &life,
+void sendStop(dispatch_state &state, tracked_target &target, const registered_target &registered,
               const task_name &task, std::uint32_t run, time_point now)
 {
-    auto order = orderFor(state, target, life, order_kind::Stop, now);
+    auto order = orderFor(state, target, registered, order_kind::Stop, now);
     order.task = task;
     order.run = run;
     state.effects.orders.push_back(std::move(order));
 }
 
-void sendPoll(dispatch_state &state, tracked_target &target, const registered_target &life,
+void sendPoll(dispatch_state &state, tracked_target &target, const registered_target &registered,
               time_point now)
 {
-    auto order = orderFor(state, target, life, order_kind::Poll, now);
+    auto order = orderFor(state, target, registered, order_kind::Poll, now);
     const bool isIdle = target.runs.empty();
-    const bool isMixed = life.latencySensitiveRuns > 0 && life.bestEffortCores > 0;
+    const bool isMixedLoad = registered.latencySensitiveRuns > 0 && registered.bestEffortCores > 0;
     const bool isStopping =
         std::any_of(target.runs.begin(), target.runs.end(), [](const auto &each) {
             return each.second.phase == run_phase::Stopping && each.second.confirmedAt.ms > 0;
         });
     if (target.clockMs && !isIdle && !target.leavingSince
-        && now - target.lastContactAt < answeredSpan) {
-        order.leaseExpiresAt = leaseEndFor(state, target, now);
+        && now - target.lastContactAt < leaseRenewalTimeout) {
+        order.leaseExpiresAt = leaseExpiryFor(state, target, now);
     }
     const bool isFirst = !target.clockMs;
     const bool isLossy = isLosingAnswers(state);
     if (!isIdle && !isFirst && !isStopping) {
         order.pollWait = isLossy ? state.settings.lossyPollWait
-            : isMixed            ? state.settings.mixedLoadPollWait
+            : isMixedLoad        ? state.settings.mixedLoadPollWait
                                  : state.settings.pollWait;
     } else if (isStopping) {
         order.pollWait = state.settings.retryDelay;
     }
     // A new incarnation that the leader has not noticed numbers its ends from the start again. An
     // acknowledgement meant for the previous one would make it discard ends that the log lacks.
-    const bool isSurelySameLife = target.pollAnsweredAt.ms > 0
+    const bool isSurelySameIncarnation = target.pollAnsweredAt.ms > 0
         && now - target.pollAnsweredAt < state.settings.sameIncarnationWindow;
-    order.lastAppliedEnd = isSurelySameLife ? life.lastAppliedEnd : 0;
+    order.lastAppliedEnd = isSurelySameIncarnation ? registered.lastAppliedEnd : 0;
     order.timeout = order.pollWait
         + (isLossy ? state.settings.lossyPollGracePeriod : state.settings.pollGracePeriod);
     target.isPollPending = true;
@@ -127,7 +128,8 @@
     state.effects.orders.push_back(std::move(order));
 }
 
-void avoid(dispatch_state &state, tracked_target &target, const std::string &reason, time_point now)
+void quarantineTarget(dispatch_state &state, tracked_target &target, const std::string &reason,
+                      time_point now)
 {
     const auto doubled = target.quarantinePeriod + target.quarantinePeriod;
     target.quarantinePeriod =
@@ -157,7 +159,7 @@
 std::int64_t clockLowerBound(const tracked_target &target, time_point now)
 {
     const auto elapsed = static_cast<double>((now - target.clockReadAt).count);
-    return *target.clockMs + static_cast<std::int64_t>(elapsed * slowestRate);
+    return *target.clockMs + static_cast<std::int64_t>(elapsed * minClockRate);
 }
 
 void updateClock(tracked_target &target, std::int64_t clockMs, time_point now)
--- a/modules/filbert_dispatch/target_orders.h
+++ b/modules/filbert_dispatch/target_orders.h
@@ -10,15 +10,14 @@
 /** Adds a command to those that the caller proposes to the log. */
 void propose(dispatch_state &state, messages::work_command &&command);
 
-/** Proposes, once per run, that a run is over without a reported end.
+/** Proposes, once per run, that a run has ended although the target has reported no end.
     @param reason  for the log */
 void proposeAbandonment(dispatch_state &state, const task_name &task, run_view &run,
                         const std::string &target, const std::string &reason);
 
-/** @return an order of a kind to the current incarnation of a target; the caller fills in the rest
- */
+/** @return an order to the current incarnation of a target; the caller sets what its kind needs */
 target_order orderFor(const dispatch_state &state, const tracked_target &target,
-                      const registered_target &life, order_kind kind, time_point now);
+                      const registered_target &registered, order_kind kind, time_point now);
 
 /** @return the timeout of a poll while answers get lost */
 inline milliseconds lossyPollTimeout(const dispatch_settings &settings)
@@ -27,15 +26,15 @@
 }
 
 /** Sends the order to start a run that the log holds. */
-void sendStart(dispatch_state &state, tracked_target &target, const registered_target &life,
+void sendStart(dispatch_state &state, tracked_target &target, const registered_target &registered,
                const task_name &task, run_view &run, time_point now);
 
-void sendStop(dispatch_state &state, tracked_target &target, const registered_target &life,
+void sendStop(dispatch_state &state, tracked_target &target, const registered_target &registered,
               const task_name &task, std::uint32_t run, time_point now);
 
 /** Polls a target for its runs and for ended runs. Renews its lease and acknowledges the ends that
     the log holds. */
-void sendPoll(dispatch_state &state, tracked_target &target, const registered_target &life,
+void sendPoll(dispatch_state &state, tracked_target &target, const registered_target &registered,
               time_point now);
 
 /** Updates the estimate of a target's clock from a reading. A reading that was delayed on its way,
@@ -44,7 +43,7 @@
 
 /** Quarantines a target: it gets no new work for a while, which doubles each time up to a maximum.
     @param reason  for the log */
-void avoid(dispatch_state &state, tracked_target &target, const std::string &reason,
-           time_point now);
+void quarantineTarget(dispatch_state &state, tracked_target &target, const std::string &reason,
+                      time_point now);
 
 } // namespace filbert
--- a/modules/filbert_dispatch/target_conversation.cpp
+++ b/modules/filbert_dispatch/target_tracking.cpp
@@ -1,4 +1,4 @@
-#include "target_conversation.h"
+#include "target_tracking.h"
 
 #include "target_orders.h"
 
@@ -12,24 +12,24 @@
 
 // The previous leader may have counted from a clock reading that was up to 3.3 s old, of a clock
 // that is up to 2 % slow.
-constexpr milliseconds leaseSlack {100};
-constexpr milliseconds checkpointSpan {
-    700}; // for a stop with a checkpoint before the target leaves
+constexpr milliseconds leaseMargin {100};
+// For a stop with a checkpoint before the target leaves.
+constexpr milliseconds checkpointTimeout {700};
 constexpr std::int64_t targetsPerMillisecond = 15; // that a tick of all targets handles in a ms
 
-bool needsLook(const dispatch_state &state, const tracked_target &target,
-               const registered_target &life, time_point now)
+bool needsPoll(const dispatch_state &state, const tracked_target &target,
+               const registered_target &registered, time_point now)
 {
-    if (target.lastProposedEnd > life.lastAppliedEnd) {
+    if (target.lastProposedEnd > registered.lastAppliedEnd) {
         return false; // until the proposed ends are committed
     }
-    const bool isHeard = now - target.lastContactAt < state.settings.contactTimeout;
+    const bool isInContact = now - target.lastContactAt < state.settings.contactTimeout;
     return !target.runs.empty()
-        || (isHeard
-            && (life.lastAppliedEnd > target.lastAcknowledgedEnd || target.isInventoryStale));
+        || (isInContact
+            && (registered.lastAppliedEnd > target.lastAcknowledgedEnd || target.isInventoryStale));
 }
 
-bool hasLapsed(const tracked_target &target, time_point now)
+bool hasLeaseExpired(const tracked_target &target, time_point now)
 {
     // Leases of earlier terms are bounded by time alone: the first reading of a clock may have been
     // long on its way, so that no expiry can be derived from it.
@@ -37,14 +37,15 @@
         && (!target.clockMs || clockLowerBound(target, now) > target.leaseExpiresAt);
 }
 
-void stepRuns(dispatch_state &state, tracked_target &target, const registered_target &life,
+void tickRuns(dispatch_state &state, tracked_target &target, const registered_target &registered,
               time_point now)
 {
     for (auto &[task, run] : target.runs) {
         const auto &job = state.work->jobs.at(task.job);
         const auto *record = findTask(*state.work, task);
-        const bool isOfOldLife = record != nullptr && record->incarnation != target.incarnation;
-        if (run.phase != run_phase::Stopping && (job.hasEnded() || isOfOldLife)) {
+        const bool isOfPreviousIncarnation =
+            record != nullptr && record->incarnation != target.incarnation;
+        if (run.phase != run_phase::Stopping && (job.hasEnded() || isOfPreviousIncarnation)) {
             run.phase = run_phase::Stopping;
             run.confirmedAt = {};
             run.retryAt = now;
@@ -53,29 +54,28 @@
             continue;
         }
         if (run.phase == run_phase::Ordered) {
-            sendStart(state, target, life, task, run, now);
+            sendStart(state, target, registered, task, run, now);
         } else if (run.phase == run_phase::Stopping && run.confirmedAt.ms == 0) {
             run.isOrderPending = true;
-            sendStop(state, target, life, task, run.run, now);
+            sendStop(state, target, registered, task, run.run, now);
         }
     }
     for (const auto &[task, run] : target.orphanRuns) {
         if (now >= target.pollSentAt + state.settings.retryDelay) {
-            sendStop(state, target, life, task, run, now);
+            sendStop(state, target, registered, task, run, now);
         }
     }
 }
 
 /** Whether no late order can start a run of the target any more. */
-bool mayNothingLinger(const tracked_target &target, time_point now)
+bool areLateStartsExcluded(const tracked_target &target, time_point now)
 {
     return std::all_of(target.runs.begin(), target.runs.end(),
                        [&](const auto &each) { return now >= each.second.mayStartLateUntil; });
 }
 
-/** Abandons the runs of a target whose lease has expired, unless a late order may still start them.
- */
-void giveUpLapsed(dispatch_state &state, tracked_target &target, time_point now)
+/** Abandons runs of a target whose lease has expired, except those that may still start late. */
+void abandonExpiredRuns(dispatch_state &state, tracked_target &target, time_point now)
 {
     target.isInventoryStale = true;
     for (auto &[task, run] : target.runs) {
@@ -91,13 +91,13 @@
 {
     for (auto &[task, run] : target.runs) {
         const auto &spec = stepSpecOf(state.work->jobs.at(task.job), task.step);
-        const bool isWatched = run.phase == run_phase::Started && !spec.lasts()
+        const bool isMonitored = run.phase == run_phase::Started && !spec.lasts()
             && !spec.fills_gaps() && run.workRate == 100;
-        const auto stalled = run.lastListedAt - std::max(run.lastProgressAt, run.startedAt);
-        if (isWatched && stalled > state.settings.stallTimeout) {
+        const auto stalledFor = run.lastListedAt - std::max(run.lastProgressAt, run.startedAt);
+        if (isMonitored && stalledFor > state.settings.stallTimeout) {
             requestStop(state, task, "it makes no progress", now);
             if (now >= target.quarantinedUntil) {
-                avoid(state, target, "a task there makes no progress", now);
+                quarantineTarget(state, target, "a task there makes no progress", now);
             }
         }
     }
@@ -105,7 +105,7 @@
 
 /** Stops runs on a draining target so that they continue elsewhere: long-running ones at once,
     others if they cannot end in time and can save a checkpoint. */
-void reviewDrain(dispatch_state &state, tracked_target &target, time_point now)
+void reviewDraining(dispatch_state &state, tracked_target &target, time_point now)
 {
     for (auto &[task, run] : target.runs) {
         if (run.phase != run_phase::Started) {
@@ -116,12 +116,12 @@
             requestStop(state, task, "its target is leaving", now);
             continue;
         }
-        const auto since = std::max<std::int64_t>((now - run.startedAt).count, 1);
-        const double left = run.percentDone > 0
-            ? static_cast<double>(since) * (100.0 - run.percentDone) / run.percentDone
+        const auto elapsed = std::max<std::int64_t>((now - run.startedAt).count, 1);
+        const double remaining = run.percentDone > 0
+            ? static_cast<double>(elapsed) * (100.0 - run.percentDone) / run.percentDone
             : static_cast<double>(spec.estimate_ms());
-        const bool canFinish = now + milliseconds {std::llround(left)} <= target.leavesAt;
-        if (!canFinish && spec.checkpoints() && now + checkpointSpan >= target.leavesAt) {
+        const bool canFinish = now + milliseconds {std::llround(remaining)} <= target.drainDeadline;
+        if (!canFinish && spec.checkpoints() && now + checkpointTimeout >= target.drainDeadline) {
             requestStop(state, task, "its target leaves before it can complete", now);
         }
     }
@@ -130,52 +130,53 @@
 } // namespace
 
 bool acceptsWork(const dispatch_state &state, const tracked_target &target,
-                 const registered_target &life, time_point now)
+                 const registered_target &registered, time_point now)
 {
-    return !life.hasEnded && !life.registration.is_draining()
-        && life.registration.born() == target.incarnation && target.clockMs && !target.leavingSince
-        && !target.isSuspect && now >= target.quarantinedUntil
+    return !registered.hasEnded && !registered.registration.is_draining()
+        && registered.registration.born() == target.incarnation && target.clockMs
+        && !target.leavingSince && !target.isSuspect && now >= target.quarantinedUntil
         && now - target.lastContactAt < state.settings.contactTimeout;
 }
 
 void syncTarget(dispatch_state &state, const std::string &id, time_point now)
 {
-    const auto *life = findRegisteredTarget(state, id);
-    if (life == nullptr) {
+    const auto *registered = findRegisteredTarget(state, id);
+    if (registered == nullptr) {
         return;
     }
-    if (life->hasEnded) {
+    if (registered->hasEnded) {
         state.targets.erase(id);
         return;
     }
     state.changedTargets.insert(id);
     auto &target = state.targets[id];
-    if (target.incarnation != life->registration.born()) {
-        const auto before = std::move(target);
+    if (target.incarnation != registered->registration.born()) {
+        const auto previous = std::move(target);
         target = {};
-        target.runs = before.runs; // stopped in the new incarnation too, see tickRuns()
+        target.runs = previous.runs; // stopped in the new incarnation too, see tickRuns()
         // Orders to the previous incarnation name an expiry on its clock, which means nothing on
         // the clock of this one. This incarnation bounds such a lease by its own maximum, counted
         // from the arrival of the order.
-        const auto lingerUntil =
+        const auto lateStartsUntil =
             now + state.settings.maxOrderDelay + withClockRateMargin(state.settings.maxTargetLease);
         for (auto &[task, run] : target.runs) {
             run.isOrderPending = false; // its answer would come from the previous incarnation
-            run.mayStartLateUntil = lingerUntil;
+            run.mayStartLateUntil = lateStartsUntil;
         }
-        target.reservedResources = before.reservedResources;
-        target.reservedBestEffortCores = before.reservedBestEffortCores;
+        target.reservedResources = previous.reservedResources;
+        target.reservedBestEffortCores = previous.reservedBestEffortCores;
         target.id = id;
-        target.incarnation = life->registration.born();
+        target.incarnation = registered->registration.born();
         target.lastContactAt = now;
         target.previousLeasesExpireBy = state.leadingSince
             + withClockRateMargin(std::min(state.settings.targetLease,
                                            state.settings.maxTargetLease))
-            + leaseSlack;
+            + leaseMargin;
     }
-    target.lastProposedEnd = std::max(target.lastProposedEnd, life->lastAppliedEnd);
-    std::erase_if(target.runs, [&](const auto &each) { return !life->runs.contains(each.first); });
-    for (const auto &task : life->runs) {
+    target.lastProposedEnd = std::max(target.lastProposedEnd, registered->lastAppliedEnd);
+    std::erase_if(target.runs,
+                  [&](const auto &each) { return !registered->runs.contains(each.first); });
+    for (const auto &task : registered->runs) {
         auto &run = target.runs[task];
         const auto *record = findTask(*state.work, task);
         if (run.run == record->run) {
@@ -189,38 +190,39 @@
     }
 }
 
-bool handleTargetReport(dispatch_state &state, const messages::target_life &life, time_point now)
+bool handleTargetReport(dispatch_state &state, const messages::target_life &report, time_point now)
 {
-    const auto *known = findRegisteredTarget(state, life.id());
-    const bool isOldNews = known != nullptr
-        && (known->registration.born() > life.born()
-            || (known->hasEnded && known->registration.born() == life.born()));
-    if (isOldNews) {
-        log_line {"late_report"}.with("target", life.id()).with("born", life.born());
+    const auto *registered = findRegisteredTarget(state, report.id());
+    const bool isOutdated = registered != nullptr
+        && (registered->registration.born() > report.born()
+            || (registered->hasEnded && registered->registration.born() == report.born()));
+    if (isOutdated) {
+        log_line {"late_report"}.with("target", report.id()).with("born", report.born());
         return false;
     }
-    const auto found = state.targets.find(life.id());
-    const bool isSameLife = known != nullptr && known->registration.born() == life.born();
-    if (isSameLife && found != state.targets.end()) {
+    const auto found = state.targets.find(report.id());
+    const bool isSameIncarnation =
+        registered != nullptr && registered->registration.born() == report.born();
+    if (isSameIncarnation && found != state.targets.end()) {
         auto &target = found->second;
-        const auto sequence = static_cast<std::uint64_t>(life.sequence());
+        const auto sequence = static_cast<std::uint64_t>(report.sequence());
         if (sequence <= target.reportSequence) {
             return false; // a later report has overtaken it
         }
         target.reportSequence = sequence;
         target.lastContactAt = now;
-        updateClock(target, life.clock_ms(), now);
-        if (life.is_draining() && target.leavesAt.ms == 0) {
-            target.leavesAt = now + milliseconds {life.remaining_ms()};
+        updateClock(target, report.clock_ms(), now);
+        if (report.is_draining() && target.drainDeadline.ms == 0) {
+            target.drainDeadline = now + milliseconds {report.remaining_ms()};
         }
     }
-    auto comparable = life;
+    auto comparable = report;
     comparable.clear_clock_ms();
     comparable.clear_sequence();
     comparable.clear_remaining_ms();
     comparable.clear_cold_ms();
-    const bool isUnchanged =
-        isSameLife && known->registration.SerializeAsString() == comparable.SerializeAsString();
+    const bool isUnchanged = isSameIncarnation
+        && registered->registration.SerializeAsString() == comparable.SerializeAsString();
     if (isUnchanged) {
         return false;
     }
@@ -271,9 +273,9 @@
 void orderStart(dispatch_state &state, const messages::start_run_command &start,
                 const std::string &ticket, time_point now)
 {
-    const auto *life = findRegisteredTarget(state, start.target());
+    const auto *registered = findRegisteredTarget(state, start.target());
     const auto found = state.targets.find(start.target());
-    if (life == nullptr || found == state.targets.end()) {
+    if (registered == nullptr || found == state.targets.end()) {
         return;
     }
     const auto task = toTaskName(start.task());
@@ -285,45 +287,45 @@
     run.orderedAt = now;
     run.checkpoint = start.checkpoint();
     run.ticket = ticket;
-    sendStart(state, found->second, *life, task, run, now);
+    sendStart(state, found->second, *registered, task, run, now);
 }
 
 namespace {
 
-void stepTarget(dispatch_state &state, tracked_target &target, time_point now)
+void tickTarget(dispatch_state &state, tracked_target &target, time_point now)
 {
     const auto &id = target.id;
-    const auto *life = findRegisteredTarget(state, id);
-    if (life == nullptr || life->registration.born() != target.incarnation) {
+    const auto *registered = findRegisteredTarget(state, id);
+    if (registered == nullptr || registered->registration.born() != target.incarnation) {
         return;
     }
     // A target that reported its end without getting an acknowledgement runs on for seconds. Only
-    // the expiry of its lease, which is not renewed any more, ensures that its runs are over.
-    const bool hasEnded = hasLapsed(target, now) && mayNothingLinger(target, now);
-    if (target.leavingSince && (target.runs.empty() || hasEnded)) {
-        if (!std::exchange(target.isLeaveProposed, true)) {
+    // the expiry of its lease, which is not renewed any more, ensures that its runs have ended.
+    const bool haveRunsEnded = hasLeaseExpired(target, now) && areLateStartsExcluded(target, now);
+    if (target.leavingSince && (target.runs.empty() || haveRunsEnded)) {
+        if (!std::exchange(target.isRemovalProposed, true)) {
             messages::work_command command;
             command.set_target_left(id);
             propose(state, std::move(command));
         }
         return;
     }
-    if (!target.runs.empty() && hasLapsed(target, now)) {
-        giveUpLapsed(state, target, now);
-        if (hasEnded) {
+    if (!target.runs.empty() && hasLeaseExpired(target, now)) {
+        abandonExpiredRuns(state, target, now);
+        if (haveRunsEnded) {
             return;
         }
     }
-    if (life->registration.is_draining()) {
-        reviewDrain(state, target, now);
+    if (registered->registration.is_draining()) {
+        reviewDraining(state, target, now);
     }
     reviewProgress(state, target, now);
-    stepRuns(state, target, *life, now);
-    const bool isLookLost =
+    tickRuns(state, target, *registered, now);
+    const bool isPollLost =
         isLosingAnswers(state) && now - target.pollSentAt > lossyPollTimeout(state.settings);
-    if ((!target.isPollPending || isLookLost) && now >= target.nextPollAt
-        && needsLook(state, target, *life, now)) {
-        sendPoll(state, target, *life, now);
+    if ((!target.isPollPending || isPollLost) && now >= target.nextPollAt
+        && needsPoll(state, target, *registered, now)) {
+        sendPoll(state, target, *registered, now);
     }
 }
 
@@ -340,14 +342,14 @@
         state.nextTargetTickAt =
             now + state.settings.targetTickPeriod + milliseconds {count / targetsPerMillisecond};
         for (auto &[id, target] : state.targets) {
-            stepTarget(state, target, now);
+            tickTarget(state, target, now);
         }
         return;
     }
     for (const auto &id : changed) {
         const auto found = state.targets.find(id);
         if (found != state.targets.end()) {
-            stepTarget(state, found->second, now);
+            tickTarget(state, found->second, now);
         }
     }
 }
--- a/modules/filbert_dispatch/target_conversation.h
+++ b/modules/filbert_dispatch/target_tracking.h
@@ -6,14 +6,13 @@
 
 /** Handles a target's report about itself.
 
-    @param life  the registration that it reported
+    @param report  the registration that it reported
     @return whether the report holds something new that must be in the log before it is
             acknowledged; the command for that is then among the effects
 */
-bool handleTargetReport(dispatch_state &state, const messages::target_life &life, time_point now);
+bool handleTargetReport(dispatch_state &state, const messages::target_life &report, time_point now);
 
-/** Handles the report of a target that it ends now. Its runs are over once its lease has expired.
- */
+/** Handles a target's report that it ends now. Its runs have ended once its lease has expired. */
 void handleTargetLeaving(dispatch_state &state, const std::string &id, time_point now);
 
 /** Handles the answer to an order, or the failure to get one. */
@@ -39,9 +38,9 @@
 bool isLosingAnswers(const dispatch_state &state);
 
 /** Whether a target may get new work.
-    @param life  its record in the replicated state */
+    @param registered  its record in the replicated state */
 bool acceptsWork(const dispatch_state &state, const tracked_target &target,
-                 const registered_target &life, time_point now);
+                 const registered_target &registered, time_point now);
 
 /** Updates the view of a target from its record and its runs in the replicated state. */
 void syncTarget(dispatch_state &state, const std::string &id, time_point now);
--- a/modules/filbert_dispatch/tests/dispatch_fixture.h
+++ b/modules/filbert_dispatch/tests/dispatch_fixture.h
@@ -9,58 +9,59 @@
 
 namespace filbert {
 
-/** A leader's dispatch over a state of staged jobs, in virtual time; targets are the test's. */
+/** The dispatch of a leader over a state of staged jobs, in virtual time. The test plays the
+    targets and the policy service. */
 struct dispatch_fixture : work_fixture
 {
     time_point now {100'000};
     std::int64_t wallMs = 1'700'000'000'000;
     std::optional<dispatch_state> leader;
-    std::vector<target_order> orders; // that went out and were not answered
+    std::vector<target_order> orders; // sent and not answered yet
     std::vector<admission_call> admissions;
     std::uint64_t ends = 0;
 
-    void lead(std::uint64_t term = 1)
+    void startLeading(std::uint64_t term = 1)
     {
         leader = startDispatch(state, dispatch_settings {}, term, now, wallMs);
     }
 
-    /** A report of a target that is alive. */
-    void report(const std::string &id, std::int64_t born = 1, bool isDraining = false)
+    /** Delivers a report of a target. */
+    void reportTarget(const std::string &id, std::int64_t incarnation = 1, bool isDraining = false)
     {
-        auto about = life(id, born,
-                          state.targets.contains(id)
-                              ? state.targets.at(id).registration.capacity().milli_cores()
-                              : 8'000);
+        auto report = life(id, incarnation,
+                           state.targets.contains(id)
+                               ? state.targets.at(id).registration.capacity().milli_cores()
+                               : 8'000);
         if (state.targets.contains(id)) {
-            about.set_address(state.targets.at(id).registration.address());
+            report.set_address(state.targets.at(id).registration.address());
         }
-        about.set_clock_ms(now.ms);
-        about.set_sequence(now.ms);
-        about.set_is_draining(isDraining);
-        handleTargetReport(*leader, about, now);
+        report.set_clock_ms(now.ms);
+        report.set_sequence(now.ms);
+        report.set_is_draining(isDraining);
+        handleTargetReport(*leader, report, now);
     }
 
-    /** A job "j" of one task, which is placed on the only target, "t1"; the start is not answered.
-     */
-    void placeOne()
+    /** Accepts a job "j" of one task and places it on the only target, "t1". The start order is not
+        answered. */
+    void placeOneTask()
     {
         target("t1");
         accept("j", {step(1)});
-        lead();
-        report("t1");
-        run({20});
+        startLeading();
+        reportTarget("t1");
+        runFor({20});
     }
 
-    /** Lets time pass by small steps, and commits whatever is proposed. */
-    void run(milliseconds span)
+    /** Lets time pass in steps of 10 ms, and commits whatever is proposed. */
+    void runFor(milliseconds duration)
     {
-        for (const auto end = now + span; now < end; now = now + milliseconds {10}) {
+        for (const auto end = now + duration; now < end; now = now + milliseconds {10}) {
             wallMs += 10;
-            stepOnce();
+            tickOnce();
         }
     }
 
-    void stepOnce()
+    void tickOnce()
     {
         tickDispatch(*leader, now, wallMs);
         while (!leader->effects.commands.empty()) {
@@ -77,8 +78,8 @@
         }
     }
 
-    /** @return the orders of a kind to a target that wait for an answer */
-    std::vector<target_order> waiting(order_kind kind, const std::string &target = {}) const
+    /** @return the pending orders of a kind, to one target or to all */
+    std::vector<target_order> pendingOrders(order_kind kind, const std::string &target = {}) const
     {
         std::vector<target_order> found;
         for (const auto &order : orders) {
@@ -89,28 +90,28 @@
         return found;
     }
 
-    /** Answers all waiting orders of a kind. */
-    void answer(order_kind kind, order_result result, const std::string &target = {},
-                const order_answer &content = {})
+    /** Answers all pending orders of a kind, to one target or to all. */
+    void answerOrders(order_kind kind, order_result result, const std::string &target = {},
+                      const order_answer &content = {})
     {
-        for (const auto &order : waiting(kind, target)) {
-            auto what = content;
-            what.result = result;
+        for (const auto &order : pendingOrders(kind, target)) {
+            auto answer = content;
+            answer.result = result;
             if (result == order_result::Done) {
-                what.clockMs = now.ms;
+                answer.clockMs = now.ms;
             }
-            handleOrderAnswer(*leader, order, what, now);
+            handleOrderAnswer(*leader, order, answer, now);
         }
         std::erase_if(orders, [&](const auto &order) {
             return order.kind == kind && (target.empty() || order.target == target);
         });
     }
 
-    /** A target that carries out what it is told: answers everything, lists what runs there. */
-    void obey(const std::string &target)
+    /** Answers all orders to a target as if it carried them out, and lists its runs. */
+    void executeOrders(const std::string &target)
     {
-        answer(order_kind::Start, order_result::Done, target);
-        answer(order_kind::Stop, order_result::Done, target);
+        answerOrders(order_kind::Start, order_result::Done, target);
+        answerOrders(order_kind::Stop, order_result::Done, target);
         order_answer list;
         for (const auto &task : state.targets.at(target).runs) {
             reported_run run;
@@ -119,29 +120,29 @@
             run.percentDone = static_cast<int>(now.ms / 100 % 100);
             list.runs.push_back(run);
         }
-        answer(order_kind::Poll, order_result::Done, target, list);
+        answerOrders(order_kind::Poll, order_result::Done, target, list);
     }
 
-    /** Reports and obedience of some targets over a span. */
-    void live(milliseconds span, const std::vector<std::string> &targets)
+    /** Lets time pass while some targets report themselves and carry out their orders. */
+    void runTargets(milliseconds duration, const std::vector<std::string> &targets)
     {
-        for (const auto end = now + span; now < end;) {
+        for (const auto end = now + duration; now < end;) {
             for (const auto &target : targets) {
-                report(target, state.targets.at(target).registration.born());
+                reportTarget(target, state.targets.at(target).registration.born());
             }
-            run({100});
+            runFor({100});
             for (const auto &target : targets) {
-                obey(target);
+                executeOrders(target);
             }
         }
     }
 
-    bool takesWorkAt(const std::string &target) const
+    bool acceptsWorkAt(const std::string &target) const
     {
         return acceptsWork(*leader, leader->targets.at(target), state.targets.at(target), now);
     }
 
-    task_status status(const task_name &task) const { return findTask(state, task)->status; }
+    task_status taskStatus(const task_name &task) const { return findTask(state, task)->status; }
     std::string targetOf(const task_name &task) const { return findTask(state, task)->target; }
 };
 
--- a/modules/filbert_dispatch/tests/preemption_test.cpp
+++ b/modules/filbert_dispatch/tests/preemption_test.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-/** Four targets, each nearly filled by small tasks of a low class; then a gang of a higher one. */
-struct full_targets : dispatch_fixture
+/** Four targets, of which small tasks of low priority fill three before a gang of higher priority
+    is submitted. */
+struct full_targets_fixture : dispatch_fixture
 {
     std::vector<std::string> targets {"t1", "t2", "t3", "t4"};
 
-    full_targets()
+    full_targets_fixture()
     {
         messages::work_command command;
         auto *configuration = command.mutable_configure();
@@ -32,15 +33,15 @@
         }
     }
 
-    void fill(const messages::step_spec &small)
+    void fill(const messages::step_spec &smallStep)
     {
-        accept("small", {small});
-        lead();
-        live({400}, targets);
+        accept("small", {smallStep});
+        startLeading();
+        runTargets({400}, targets);
         REQUIRE(findStep(state, {"small", 0, 0, 0})->runningTasks == 12);
     }
 
-    void handInGang(int members)
+    void submitGang(int members)
     {
         messages::work_command command;
         auto *job = command.mutable_accept();
@@ -53,36 +54,38 @@
         const auto outcome = apply(command);
         REQUIRE(outcome.error == error_kind::None);
         handleCommittedCommand(*leader, command, false, now);
-        run({50});
+        runFor({50});
     }
 
     static messages::step_spec checkpointed()
     {
-        auto small = step(12, 2'000);
-        small.set_checkpoints(true);
-        small.set_estimate_ms(2'000);
-        return small;
+        auto smallStep = step(12, 2'000);
+        smallStep.set_checkpoints(true);
+        smallStep.set_estimate_ms(2'000);
+        return smallStep;
     }
 
-    std::size_t stops() const { return waiting(order_kind::Stop).size(); }
+    std::size_t countStops() const { return pendingOrders(order_kind::Stop).size(); }
 };
 
 } // namespace
 
-TEST_CASE("a gang that finds no room gets it from small checkpointed work below it", "[dispatch]")
+TEST_CASE("a gang without capacity preempts small checkpointed tasks of lower priority",
+          "[dispatch]")
 {
-    full_targets cell;
-    cell.fill(full_targets::checkpointed());
-    cell.handInGang(2);
-    CHECK(cell.stops() == 3); // one target is empty, the others are full: 5 of 8 cores are needed
-    cell.run({50});
-    CHECK(cell.stops() == 3); // what is being stopped is counted on, and not asked for again
+    full_targets_fixture cell;
+    cell.fill(full_targets_fixture::checkpointed());
+    cell.submitGang(2);
+    // One target is empty, the others are full; a member needs 5 of 8 cores.
+    CHECK(cell.countStops() == 3);
+    cell.runFor({50});
+    CHECK(cell.countStops() == 3); // runs that are being stopped count: no further ones are stopped
     std::set<std::string> freed;
-    for (const auto &order : cell.waiting(order_kind::Stop)) {
+    for (const auto &order : cell.pendingOrders(order_kind::Stop)) {
         freed.insert(order.target);
     }
     REQUIRE(freed.size() == 1);
-    cell.answer(order_kind::Stop, order_result::Done);
+    cell.answerOrders(order_kind::Stop, order_result::Done);
     std::uint64_t number = 0;
     for (const auto &target : freed) {
         order_answer list;
@@ -93,49 +96,49 @@
                 list.runs.push_back({task, 1, {}, 50, 0});
             }
         }
-        cell.answer(order_kind::Poll, order_result::Done, target, list);
+        cell.answerOrders(order_kind::Poll, order_result::Done, target, list);
     }
-    cell.run({50});
+    cell.runFor({50});
     CHECK(findStep(cell.state, {"gang", 0, 0, 0})->runningTasks == 2);
     CHECK(findTask(cell.state, {"small", 0, 0, 0})->failures == 0);
 }
 
 TEST_CASE("nothing is stopped for a gang that can wait", "[dispatch]")
 {
-    full_targets cell;
-    cell.fill(full_targets::checkpointed());
+    full_targets_fixture cell;
+    cell.fill(full_targets_fixture::checkpointed());
     const_cast<messages::work_queue *>(findQueue(cell.state.configuration, "gangs"))
         ->set_slack_factor(20);
-    cell.handInGang(2);
-    CHECK(cell.stops() == 0);
+    cell.submitGang(2);
+    CHECK(cell.countStops() == 0);
 }
 
-TEST_CASE("nothing is stopped where that would not make room for the whole gang", "[dispatch]")
+TEST_CASE("nothing is stopped if that would not free capacity for the whole gang", "[dispatch]")
 {
-    full_targets cell;
-    cell.fill(full_targets::checkpointed());
-    cell.handInGang(5);
-    CHECK(cell.stops() == 0);
+    full_targets_fixture cell;
+    cell.fill(full_targets_fixture::checkpointed());
+    cell.submitGang(5);
+    CHECK(cell.countStops() == 0);
 }
 
-TEST_CASE("work that keeps no checkpoint, or could be late, is not stopped for a gang",
+TEST_CASE("long-running tasks and those without checkpoints or slack are not stopped for a gang",
           "[dispatch]")
 {
-    full_targets cell;
-    auto small = full_targets::checkpointed();
+    full_targets_fixture cell;
+    auto smallStep = full_targets_fixture::checkpointed();
     SECTION("no checkpoint")
     {
-        small.set_checkpoints(false);
+        smallStep.set_checkpoints(false);
     }
     SECTION("little slack")
     {
-        small.set_estimate_ms(150); // 20 times that is below what a stop may cost
+        smallStep.set_estimate_ms(150); // 20 times that is less slack than a stop may cost
     }
-    SECTION("it lasts")
+    SECTION("a long-running step")
     {
-        small.set_lasts(true);
+        smallStep.set_lasts(true);
     }
-    cell.fill(small);
-    cell.handInGang(2);
-    CHECK(cell.stops() == 0);
+    cell.fill(smallStep);
+    cell.submitGang(2);
+    CHECK(cell.countStops() == 0);
 }
--- a/modules/filbert_dispatch/tests/scheduling_test.cpp
+++ b/modules/filbert_dispatch/tests/scheduling_test.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-messages::work_queue *queueOf(dispatch_fixture &cell)
+messages::work_queue *firstQueue(dispatch_fixture &cell)
 {
     return cell.state.configuration.mutable_queues(0);
 }
 
-std::size_t running(const dispatch_fixture &cell, const std::string &job)
+std::size_t runningTasksOf(const dispatch_fixture &cell, const std::string &job)
 {
     return cell.state.jobs.at(job).runningTasks;
 }
@@ -25,17 +25,17 @@
     auto gang = cell.step(3);
     gang.set_is_gang(true);
     cell.accept("j", {gang});
-    cell.lead();
-    cell.report("t1");
-    cell.run({300});
-    CHECK(running(cell, "j") == 0);
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({300});
+    CHECK(runningTasksOf(cell, "j") == 0);
     cell.target("t2", 1, 2'000);
-    cell.lead();
-    cell.report("t1");
-    cell.report("t2");
-    cell.run({300});
-    CHECK(running(cell, "j") == 3);
-    for (const auto &order : cell.waiting(order_kind::Start)) {
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.reportTarget("t2");
+    cell.runFor({300});
+    CHECK(runningTasksOf(cell, "j") == 3);
+    for (const auto &order : cell.pendingOrders(order_kind::Start)) {
         CHECK(order.run == 1);
     }
 }
@@ -46,13 +46,13 @@
     cell.configure(2, 2, 5'000);
     cell.target("t1", 1, 32'000);
     cell.accept("j", {cell.step(6)});
-    cell.lead();
-    cell.report("t1");
-    cell.run({300});
-    CHECK(running(cell, "j") == 2);
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({300});
+    CHECK(runningTasksOf(cell, "j") == 2);
 }
 
-TEST_CASE("a step that spreads puts at most so many tasks on a target", "[dispatch]")
+TEST_CASE("a step places no more tasks on a target than its limit per target", "[dispatch]")
 {
     dispatch_fixture cell;
     cell.target("t1", 1, 32'000);
@@ -60,27 +60,28 @@
     auto spec = cell.step(5);
     spec.set_max_per_target(2);
     cell.accept("j", {spec});
-    cell.lead();
-    cell.report("t1");
-    cell.report("t2");
-    cell.run({300});
-    CHECK(running(cell, "j") == 4);
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.reportTarget("t2");
+    cell.runFor({300});
+    CHECK(runningTasksOf(cell, "j") == 4);
 }
 
-TEST_CASE("a step goes only where its label is", "[dispatch]")
+TEST_CASE("a step is placed only on targets with its required label", "[dispatch]")
 {
     dispatch_fixture cell;
     cell.target("t1");
     auto spec = cell.step(1);
     spec.set_required_label("b");
     cell.accept("j", {spec});
-    cell.lead();
-    cell.report("t1");
-    cell.run({300});
-    CHECK(running(cell, "j") == 0);
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({300});
+    CHECK(runningTasksOf(cell, "j") == 0);
 }
 
-TEST_CASE("urgent work goes first, and what waits for room keeps lower work out", "[dispatch]")
+TEST_CASE("urgent work goes first, and reserves the targets that it waits for against lower work",
+          "[dispatch]")
 {
     dispatch_fixture cell;
     auto *bulk = cell.state.configuration.add_queues();
@@ -98,31 +99,31 @@
     command.mutable_accept()->set_queue("bulk");
     command.mutable_accept()->mutable_steps(0)->mutable_need()->set_milli_cores(1'000);
     cell.apply(command);
-    cell.lead();
-    cell.report("t1");
-    cell.run({300});
-    CHECK(running(cell, "low") == 0);
-    CHECK(running(cell, "large") == 0);
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({300});
+    CHECK(runningTasksOf(cell, "low") == 0);
+    CHECK(runningTasksOf(cell, "large") == 0);
 }
 
-TEST_CASE("a step under a policy starts only with a ticket that is still good", "[dispatch]")
+TEST_CASE("a step under a policy starts only with a ticket that has not expired", "[dispatch]")
 {
     dispatch_fixture cell;
-    auto *admission = queueOf(cell)->mutable_admission();
+    auto *admission = firstQueue(cell)->mutable_admission();
     admission->set_decide_ms(20);
     admission->set_per_target_ms(1);
     admission->set_ticket_ms(1'500);
     cell.target("t1");
     cell.target("t2");
     cell.accept("j", {cell.step(1)});
-    cell.lead();
-    cell.report("t1");
-    cell.report("t2");
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.reportTarget("t2");
     registerCaller(*cell.leader, "gateway-1", 1, cell.now);
-    cell.run({50});
+    cell.runFor({50});
     REQUIRE(cell.admissions.size() == 1);
     CHECK(cell.admissions[0].request.targets_size() == 2);
-    CHECK(running(cell, "j") == 0);
+    CHECK(runningTasksOf(cell, "j") == 0);
     messages::admission_answer answer;
     answer.set_id(cell.admissions[0].request.id());
     answer.set_is_answered(true);
@@ -132,34 +133,35 @@
     SECTION("in time")
     {
         handleAdmissionAnswer(*cell.leader, answer, cell.now);
-        cell.run({50});
-        const auto starts = cell.waiting(order_kind::Start);
+        cell.runFor({50});
+        const auto starts = cell.pendingOrders(order_kind::Start);
         REQUIRE(starts.size() == 1);
         CHECK(starts[0].target == "t2");
         CHECK(starts[0].ticket == "ticket-2");
     }
-    SECTION("not once it has aged")
+    SECTION("not once it has expired")
     {
         handleAdmissionAnswer(*cell.leader, answer, cell.now);
         cell.now = cell.now + milliseconds {1'400};
-        cell.report("t1");
-        cell.report("t2");
+        cell.reportTarget("t1");
+        cell.reportTarget("t2");
         registerCaller(*cell.leader, "gateway-1", 1, cell.now);
         cell.admissions.clear();
-        cell.run({50});
-        CHECK(cell.waiting(order_kind::Start).empty());
-        REQUIRE(cell.admissions.size() == 1); // for a new one, of the target that is admitted
+        cell.runFor({50});
+        CHECK(cell.pendingOrders(order_kind::Start).empty());
+        REQUIRE(cell.admissions.size() == 1); // to renew the ticket for the admitted target
         CHECK(cell.admissions[0].request.targets(0) == "t2");
     }
 }
 
-TEST_CASE("a gang asks for further targets where those that are admitted do not hold all of it",
-          "[dispatch]")
+TEST_CASE(
+    "a gang requests tickets for further targets if the admitted ones have no capacity for it",
+    "[dispatch]")
 {
     dispatch_fixture cell;
-    auto *admission = queueOf(cell)->mutable_admission();
+    auto *admission = firstQueue(cell)->mutable_admission();
     admission->set_decide_ms(20);
-    admission->set_per_target_ms(5); // costly: not all targets are named at once
+    admission->set_per_target_ms(5); // a costly policy: not all targets are named at once
     admission->set_ticket_ms(1'500);
     std::vector<std::string> targets;
     for (int i = 0; i < 30; ++i) {
@@ -169,21 +171,21 @@
     auto gang = cell.step(2);
     gang.set_is_gang(true);
     cell.accept("j", {gang});
-    cell.lead();
-    std::set<std::string> asked;
+    cell.startLeading();
+    std::set<std::string> requested;
     for (int i = 0; i < 20; ++i) {
         for (const auto &target : targets) {
-            cell.report(target);
+            cell.reportTarget(target);
         }
         registerCaller(*cell.leader, "gateway-1", 1, cell.now);
-        cell.run({100});
+        cell.runFor({100});
         for (const auto &call : std::exchange(cell.admissions, {})) {
             messages::admission_answer answer;
             answer.set_id(call.request.id());
             answer.set_is_answered(true);
             for (const auto &target : call.request.targets()) {
-                asked.insert(target);
-                if (target == "t10" || target == "t39") { // all that the policy admits
+                requested.insert(target);
+                if (target == "t10" || target == "t39") { // the only targets that the policy admits
                     answer.add_admitted()->set_target(target);
                     answer.mutable_admitted(answer.admitted_size() - 1)->set_ticket("t");
                 }
@@ -191,13 +193,13 @@
             handleAdmissionAnswer(*cell.leader, answer, cell.now);
         }
     }
-    CHECK(asked.size() == targets.size());
-    CHECK(running(cell, "j") == 2);
+    CHECK(requested.size() == targets.size());
+    CHECK(runningTasksOf(cell, "j") == 2);
 }
 
 namespace {
 
-/** Targets "t10" to "t39" with room for one task each, and a gang "j" under a costly policy. */
+/** Targets "t10" to "t39" with capacity for one task each, and a gang "j" under a costly policy. */
 struct costly_gang_fixture : dispatch_fixture
 {
     std::vector<std::string> targets;
@@ -205,7 +207,7 @@
 
     explicit costly_gang_fixture(int members)
     {
-        auto *admission = queueOf(*this)->mutable_admission();
+        auto *admission = firstQueue(*this)->mutable_admission();
         admission->set_decide_ms(550);
         admission->set_per_target_ms(8);
         admission->set_ticket_ms(2'000);
@@ -216,126 +218,127 @@
         auto gang = step(members);
         gang.set_is_gang(true);
         accept("j", {gang});
-        lead();
+        startLeading();
     }
 
-    void hearAll()
+    void reportAll()
     {
         for (const auto &each : targets) {
-            report(each);
+            reportTarget(each);
         }
         for (int i = 0; i < callers; ++i) {
             registerCaller(*leader, "gateway-" + std::to_string(i), 1, now);
         }
-        run({50});
+        runFor({50});
     }
 
-    /** The policy service admits whatever it was asked. @return how many targets it was asked */
-    int admitAll()
+    /** Lets the policy service admit all targets that it was asked for.
+        @return how many targets were requested */
+    int admitRequests()
     {
-        int asked = 0;
+        int requested = 0;
         for (const auto &call : std::exchange(admissions, {})) {
             messages::admission_answer answer;
             answer.set_id(call.request.id());
             answer.set_is_answered(true);
-            asked += call.request.targets_size();
+            requested += call.request.targets_size();
             for (const auto &each : call.request.targets()) {
                 answer.add_admitted()->set_target(each);
                 answer.mutable_admitted(answer.admitted_size() - 1)->set_ticket("t");
             }
             handleAdmissionAnswer(*leader, answer, now);
         }
-        return asked;
+        return requested;
     }
 };
 
 } // namespace
 
-TEST_CASE("a costly policy is asked by several processes at the same time", "[dispatch]")
+TEST_CASE("a costly policy is called by several processes in parallel", "[dispatch]")
 {
     costly_gang_fixture cell {2};
-    cell.hearAll();
+    cell.reportAll();
     REQUIRE(cell.admissions.size() == 2); // 20 and 10 targets
     CHECK(cell.admissions[0].caller != cell.admissions[1].caller);
-    CHECK(cell.admitAll() == 30);
-    cell.run({50});
-    CHECK(running(cell, "j") == 2);
+    CHECK(cell.admitRequests() == 30);
+    cell.runFor({50});
+    CHECK(runningTasksOf(cell, "j") == 2);
 }
 
-TEST_CASE("where few processes are free, a costly policy is asked by one of them", "[dispatch]")
+TEST_CASE("a costly policy is called by only one process if few are free", "[dispatch]")
 {
     costly_gang_fixture cell {2};
     cell.callers = 4;
-    cell.hearAll();
+    cell.reportAll();
     CHECK(cell.admissions.size() == 1);
 }
 
-TEST_CASE("a policy call of lower work is not put off by higher work for ever", "[dispatch]")
+TEST_CASE("policy calls for work of higher priority do not starve those for lower priority",
+          "[dispatch]")
 {
     dispatch_fixture cell;
-    queueOf(cell)->mutable_admission()->set_decide_ms(300);
-    queueOf(cell)->mutable_admission()->set_ticket_ms(1'500);
-    queueOf(cell)->set_priority(2);
+    firstQueue(cell)->mutable_admission()->set_decide_ms(300);
+    firstQueue(cell)->mutable_admission()->set_ticket_ms(1'500);
+    firstQueue(cell)->set_priority(2);
     cell.target("t1");
     cell.accept("low", {cell.step(1)});
-    cell.lead();
-    cell.report("t1");
-    cell.run({20}); // it asks, and no process is free
-    cell.now = cell.now + milliseconds {1'100}; // more than two classes' worth
-    cell.report("t1");
-    queueOf(cell)->set_priority(0);
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({20}); // it makes a request, and no caller is there
+    cell.now = cell.now + milliseconds {1'100}; // longer than two priority levels weigh
+    cell.reportTarget("t1");
+    firstQueue(cell)->set_priority(0);
     cell.accept("high", {cell.step(1)});
-    cell.run({20});
+    cell.runFor({20});
     registerCaller(*cell.leader, "gateway-1", 1, cell.now);
-    cell.run({20});
+    cell.runFor({20});
     REQUIRE(cell.admissions.size() == 1);
     CHECK(cell.admissions[0].request.step().job() == "low");
 }
 
-TEST_CASE("tickets are renewed for all members of a wide gang", "[dispatch]")
+TEST_CASE("tickets are renewed for all members of a large gang", "[dispatch]")
 {
     costly_gang_fixture cell {12};
-    cell.hearAll();
-    cell.admitAll();
-    cell.now = cell.now + milliseconds {1'900}; // the tickets have aged before there was a pass
-    cell.hearAll();
-    CHECK(cell.admitAll() >= 12);
-    cell.run({50});
-    CHECK(running(cell, "j") == 12);
+    cell.reportAll();
+    cell.admitRequests();
+    cell.now = cell.now + milliseconds {1'900}; // the tickets have expired before the next pass
+    cell.reportAll();
+    CHECK(cell.admitRequests() >= 12);
+    cell.runFor({50});
+    CHECK(runningTasksOf(cell, "j") == 12);
 }
 
-TEST_CASE("a policy call without an answer goes to another process soon", "[dispatch]")
+TEST_CASE("a policy call without an answer is soon made by another process", "[dispatch]")
 {
     dispatch_fixture cell;
-    queueOf(cell)->mutable_admission()->set_decide_ms(20);
-    queueOf(cell)->mutable_admission()->set_ticket_ms(1'500);
+    firstQueue(cell)->mutable_admission()->set_decide_ms(20);
+    firstQueue(cell)->mutable_admission()->set_ticket_ms(1'500);
     cell.target("t1");
     cell.accept("j", {cell.step(1)});
-    cell.lead();
-    cell.report("t1");
+    cell.startLeading();
+    cell.reportTarget("t1");
     registerCaller(*cell.leader, "gateway-1", 1, cell.now);
     registerCaller(*cell.leader, "gateway-2", 1, cell.now);
-    cell.run({20});
+    cell.runFor({20});
     REQUIRE(cell.admissions.size() == 1);
-    cell.run({350});
+    cell.runFor({350});
     REQUIRE(cell.admissions.size() == 2);
     CHECK(cell.admissions[0].caller != cell.admissions[1].caller);
 }
 
-TEST_CASE("tickets of the step that comes next are asked for while the one before runs",
-          "[dispatch]")
+TEST_CASE("tickets for the next step are requested while the step before it runs", "[dispatch]")
 {
     dispatch_fixture cell;
-    queueOf(cell)->mutable_admission()->set_decide_ms(12);
-    queueOf(cell)->mutable_admission()->set_ticket_ms(1'500);
+    firstQueue(cell)->mutable_admission()->set_decide_ms(12);
+    firstQueue(cell)->mutable_admission()->set_ticket_ms(1'500);
     cell.target("t1");
     auto second = cell.step(1);
     second.add_depends_on(0);
     cell.accept("j", {cell.step(2), second});
-    cell.lead();
-    cell.report("t1");
+    cell.startLeading();
+    cell.reportTarget("t1");
     registerCaller(*cell.leader, "gateway-1", 1, cell.now);
-    cell.run({20});
+    cell.runFor({20});
     const auto answerLast = [&] {
         messages::admission_answer answer;
         answer.set_id(cell.admissions.back().request.id());
@@ -344,49 +347,49 @@
         ticket->set_target("t1");
         ticket->set_ticket("ticket-" + std::to_string(cell.admissions.size()));
         handleAdmissionAnswer(*cell.leader, answer, cell.now);
-        cell.run({20});
+        cell.runFor({20});
     };
     REQUIRE(cell.admissions.size() == 1);
     answerLast();
-    REQUIRE(cell.status({"j", 0, 0, 1}) == task_status::Running);
+    REQUIRE(cell.taskStatus({"j", 0, 0, 1}) == task_status::Running);
     CHECK(cell.admissions.size() == 1); // nothing of the first step is done
-    cell.obey("t1");
-    order_answer look;
-    look.ends.push_back({1, {"j", 0, 0, 0}, 1, messages::END_DONE, {}});
-    look.runs.push_back({{"j", 0, 0, 1}, 1, {}, 50, 0});
-    cell.run({20});
-    cell.answer(order_kind::Poll, order_result::Done, "t1", look);
-    cell.run({20});
+    cell.executeOrders("t1");
+    order_answer pollAnswer;
+    pollAnswer.ends.push_back({1, {"j", 0, 0, 0}, 1, messages::END_DONE, {}});
+    pollAnswer.runs.push_back({{"j", 0, 0, 1}, 1, {}, 50, 0});
+    cell.runFor({20});
+    cell.answerOrders(order_kind::Poll, order_result::Done, "t1", pollAnswer);
+    cell.runFor({20});
     REQUIRE(cell.admissions.size() == 2);
     answerLast();
-    cell.obey("t1");
-    look.ends[0] = {2, {"j", 0, 0, 1}, 1, messages::END_DONE, {}};
-    look.runs.clear();
-    cell.run({20});
-    cell.answer(order_kind::Poll, order_result::Done, "t1", look);
-    cell.run({20});
-    CHECK(cell.status({"j", 0, 1, 0}) == task_status::Running); // without a further call
+    cell.executeOrders("t1");
+    pollAnswer.ends[0] = {2, {"j", 0, 0, 1}, 1, messages::END_DONE, {}};
+    pollAnswer.runs.clear();
+    cell.runFor({20});
+    cell.answerOrders(order_kind::Poll, order_result::Done, "t1", pollAnswer);
+    cell.runFor({20});
+    CHECK(cell.taskStatus({"j", 0, 1, 0}) == task_status::Running); // without a further call
     CHECK(cell.admissions.size() == 2);
 }
 
-TEST_CASE("what a replaced process was asked goes to another at once", "[dispatch]")
+TEST_CASE("the requests of a replaced process go to another at once", "[dispatch]")
 {
     dispatch_fixture cell;
-    queueOf(cell)->mutable_admission()->set_decide_ms(900);
-    queueOf(cell)->mutable_admission()->set_ticket_ms(1'500);
+    firstQueue(cell)->mutable_admission()->set_decide_ms(900);
+    firstQueue(cell)->mutable_admission()->set_ticket_ms(1'500);
     cell.target("t1");
     cell.accept("j", {cell.step(1)});
-    cell.lead();
-    cell.report("t1");
+    cell.startLeading();
+    cell.reportTarget("t1");
     registerCaller(*cell.leader, "gateway-1", 1, cell.now);
-    cell.run({20});
+    cell.runFor({20});
     REQUIRE(cell.admissions.size() == 1);
     registerCaller(*cell.leader, "gateway-1", 2, cell.now);
-    cell.run({20});
+    cell.runFor({20});
     CHECK(cell.admissions.size() == 2);
 }
 
-TEST_CASE("tasks that fill gaps stay away from tasks that serve", "[dispatch]")
+TEST_CASE("best-effort tasks are not placed beside latency-sensitive ones", "[dispatch]")
 {
     dispatch_fixture cell;
     cell.target("t1", 1, 32'000);
@@ -394,20 +397,20 @@
     serving.set_lasts(true);
     serving.set_latency_target_ms(100);
     cell.accept("serving", {serving});
-    cell.lead();
-    cell.report("t1");
-    cell.run({50});
-    CHECK(running(cell, "serving") == 1);
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({50});
+    CHECK(runningTasksOf(cell, "serving") == 1);
     auto filling = cell.step(1);
     filling.set_fills_gaps(true);
     cell.accept("filling", {filling});
-    cell.lead();
-    cell.report("t1");
-    cell.run({300});
-    CHECK(running(cell, "filling") == 0);
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({300});
+    CHECK(runningTasksOf(cell, "filling") == 0);
 }
 
-TEST_CASE("tasks that fill gaps slow down near a latency target and come back by steps",
+TEST_CASE("best-effort tasks slow down near a latency target and speed up again step by step",
           "[dispatch]")
 {
     CHECK(nextWorkRate(0.9, 100) == 25);
@@ -417,7 +420,7 @@
     CHECK(nextWorkRate(0.5, 100) == 100);
 }
 
-TEST_CASE("an occurrence begins at its time, not before", "[dispatch]")
+TEST_CASE("an occurrence begins when it is due and not earlier", "[dispatch]")
 {
     dispatch_fixture cell;
     cell.target("t1");
@@ -430,17 +433,17 @@
     job->set_first_due_wall_ms(cell.wallMs + 500);
     job->set_interval_ms(400);
     cell.apply(command);
-    cell.lead();
-    cell.report("t1");
-    cell.run({490});
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({490});
     CHECK(cell.state.jobs.at("timed").occurrences.empty());
-    cell.run({30});
+    cell.runFor({30});
     CHECK(cell.state.jobs.at("timed").occurrences.size() == 1);
-    cell.run({400});
+    cell.runFor({400});
     CHECK(cell.state.jobs.at("timed").occurrences.size() == 2);
 }
 
-TEST_CASE("the longest chain of estimates goes through what depends on what", "[dispatch]")
+TEST_CASE("the critical path follows the dependencies of the steps", "[dispatch]")
 {
     messages::staged_job job;
     for (int i = 0; i < 3; ++i) {
@@ -448,8 +451,8 @@
         job.mutable_steps(i)->set_estimate_ms(100 * (i + 1));
     }
     job.mutable_steps(2)->add_depends_on(0);
-    const auto chains = criticalPathsOf(job);
-    CHECK(chains[0].count == 400);
-    CHECK(chains[1].count == 200);
-    CHECK(chains[2].count == 300);
+    const auto paths = criticalPathsOf(job);
+    CHECK(paths[0].count == 400);
+    CHECK(paths[1].count == 200);
+    CHECK(paths[2].count == 300);
 }
--- /dev/null
+++ b/modules/filbert_dispatch/tests/target_tracking_test.cpp
@@ -0,0 +1,447 @@
+#include "dispatch_fixture.h"
+
+#include <catch2/catch.hpp>
+
+using namespace filbert;
+
+namespace {
+
+const task_name firstTask {"j", 0, 0, 0};
+
+} // namespace
+
+TEST_CASE("a start order carries a lease that expires on the target's clock", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1");
+    cell.startLeading(7);
+    cell.reportTarget("t1");
+    cell.accept("j", {cell.step(1)});
+    cell.startLeading(7);
+    cell.reportTarget("t1");
+    cell.runFor({50});
+    const auto starts = cell.pendingOrders(order_kind::Start);
+    REQUIRE(starts.size() == 1);
+    CHECK(starts[0].task == firstTask);
+    CHECK(starts[0].run == 1);
+    CHECK(starts[0].fencingToken == 7);
+    CHECK(starts[0].leaseExpiresAt > cell.now.ms);
+    CHECK(starts[0].leaseExpiresAt <= cell.now.ms + cell.leader->settings.maxTargetLease.count);
+}
+
+TEST_CASE("a new leader waits for the leases of the previous leader to expire", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1");
+    cell.target("t2");
+    cell.accept("j", {cell.step(1)});
+    cell.start(firstTask, 1, "t1");
+    cell.startLeading(2);
+    cell.reportTarget("t1");
+    cell.runFor({4'000}); // nothing is answered
+    CHECK(cell.taskStatus(firstTask) == task_status::Running);
+    cell.runFor({2'500});
+    CHECK(cell.taskStatus(firstTask) == task_status::Waiting);
+}
+
+TEST_CASE("a delayed clock reading does not shorten a lease of an earlier term", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1");
+    cell.target("t2");
+    cell.accept("j", {cell.step(1)});
+    cell.start(firstTask, 1, "t1");
+    cell.startLeading(2);
+    const auto leadingSince = cell.now;
+    auto stale = work_fixture::life("t1", 1);
+    stale.set_sequence(1);
+    stale.set_clock_ms(cell.now.ms - 2'000);
+    handleTargetReport(*cell.leader, stale, cell.now);
+    cell.runFor({1'000});
+    cell.reportTarget("t1");
+    const auto earliestExpiry = leadingSince + cell.leader->settings.targetLease;
+    while (cell.taskStatus(firstTask) == task_status::Running
+           && cell.now < leadingSince + milliseconds {12'000}) {
+        cell.reportTarget("t2");
+        cell.runFor({50});
+    }
+    CHECK(cell.taskStatus(firstTask) != task_status::Done);
+    CHECK(findTask(cell.state, firstTask)->target != "t1");
+    CHECK(cell.now > earliestExpiry);
+}
+
+TEST_CASE("runs of a silent target start elsewhere once its lease has surely expired", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1");
+    cell.target("t2");
+    cell.accept("j", {cell.step(1)});
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({20});
+    cell.runTargets({3'000}, {"t1"});
+    REQUIRE(cell.targetOf(firstTask) == "t1");
+    cell.runTargets({3'000}, {"t2"});
+    CHECK(cell.targetOf(firstTask) == "t1"); // its lease may not have expired yet
+    cell.runTargets({4'500}, {"t2"});
+    CHECK(cell.targetOf(firstTask) == "t2");
+    CHECK(findTask(cell.state, firstTask)->run == 2);
+}
+
+TEST_CASE("an unanswered start is retried, then stopped before the task starts elsewhere",
+          "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.placeOneTask();
+    int attempts = 0;
+    while (cell.pendingOrders(order_kind::Stop).empty() && attempts < 20) {
+        attempts += static_cast<int>(cell.pendingOrders(order_kind::Start).size());
+        cell.answerOrders(order_kind::Start, order_result::Unanswered);
+        cell.runFor({200});
+    }
+    CHECK(attempts >= 3);
+    CHECK(cell.taskStatus(firstTask) == task_status::Running);
+    cell.answerOrders(order_kind::Poll, order_result::Done); // sent before the stop: proves nothing
+    cell.runFor({20});
+    cell.answerOrders(order_kind::Stop, order_result::Done);
+    cell.runFor({20});
+    cell.answerOrders(order_kind::Poll, order_result::Done);
+    cell.runFor({300});
+    cell.answerOrders(order_kind::Poll, order_result::Done);
+    cell.runFor({20});
+    CHECK(findTask(cell.state, firstTask)->run >= 1);
+    CHECK((cell.taskStatus(firstTask) == task_status::Waiting
+           || findTask(cell.state, firstTask)->run == 2));
+}
+
+TEST_CASE("a run whose start order was never sent is abandoned without a stop", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.placeOneTask();
+    for (int i = 0; i < 20 && cell.taskStatus(firstTask) == task_status::Running; ++i) {
+        cell.answerOrders(order_kind::Start, order_result::Unreachable);
+        cell.runFor({200});
+    }
+    CHECK(cell.taskStatus(firstTask) == task_status::Waiting);
+    CHECK(cell.pendingOrders(order_kind::Stop).empty());
+}
+
+TEST_CASE("a target that does not answer gets no new work until it does", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1");
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({20});
+    cell.answerOrders(order_kind::Poll, order_result::Unreachable);
+    CHECK_FALSE(cell.acceptsWorkAt("t1"));
+    cell.runFor({400});
+    cell.answerOrders(order_kind::Poll, order_result::Done);
+    CHECK(cell.acceptsWorkAt("t1"));
+}
+
+TEST_CASE("an end is committed to the log before it is acknowledged to the target", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.placeOneTask();
+    cell.executeOrders("t1");
+    cell.runFor({20});
+    order_answer list;
+    list.ends.push_back({4, firstTask, 1, messages::END_DONE, ""});
+    cell.answerOrders(order_kind::Poll, order_result::Done, "t1", list);
+    CHECK(cell.pendingOrders(order_kind::Poll).empty());
+    cell.runFor({20});
+    CHECK(cell.statusOf("j") == job_status::Completed);
+    const auto polls = cell.pendingOrders(order_kind::Poll);
+    REQUIRE(polls.size() == 1);
+    CHECK(polls[0].lastAppliedEnd == 4);
+}
+
+TEST_CASE("ends are acknowledged only to the incarnation that has listed them", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1");
+    cell.accept("j", {cell.step(2)});
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({20});
+    cell.answerOrders(order_kind::Start, order_result::Done);
+    cell.runFor({20});
+    order_answer list;
+    list.ends.push_back({7, firstTask, 1, messages::END_DONE, {}});
+    list.runs.push_back({{"j", 0, 0, 1}, 1, {}, 50, 0});
+    cell.answerOrders(order_kind::Poll, order_result::Done, "t1", list);
+    cell.runFor({20});
+    auto polls = cell.pendingOrders(order_kind::Poll, "t1");
+    REQUIRE(polls.size() == 1);
+    CHECK(polls[0].lastAppliedEnd == 7);
+    cell.answerOrders(order_kind::Poll, order_result::Unanswered); // its process may have ended
+    cell.runFor({300});
+    polls = cell.pendingOrders(order_kind::Poll, "t1");
+    REQUIRE(polls.size() == 1);
+    // A new incarnation has ends of its own under these numbers.
+    CHECK(polls[0].lastAppliedEnd == 0);
+    list.ends.clear();
+    cell.answerOrders(order_kind::Poll, order_result::Done, "t1", list);
+    cell.runFor({20});
+    polls = cell.pendingOrders(order_kind::Poll, "t1");
+    REQUIRE(polls.size() == 1);
+    CHECK(polls[0].lastAppliedEnd == 7);
+}
+
+TEST_CASE("runs of a cancelled job and orphan runs are stopped", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.placeOneTask();
+    cell.executeOrders("t1");
+    messages::work_command cancel;
+    cancel.set_cancel("j");
+    cell.apply(cancel);
+    handleCommittedCommand(*cell.leader, cancel, false, cell.now);
+    cell.runFor({20});
+    REQUIRE(cell.pendingOrders(order_kind::Stop).size() == 1);
+    cell.answerOrders(order_kind::Stop, order_result::Done);
+    order_answer list;
+    reported_run orphan;
+    orphan.task = {"other", 0, 0, 0};
+    orphan.run = 3;
+    list.runs.push_back(orphan);
+    cell.answerOrders(order_kind::Poll, order_result::Done, "t1", list);
+    cell.runFor({300});
+    const auto stops = cell.pendingOrders(order_kind::Stop);
+    REQUIRE(!stops.empty());
+    CHECK(stops[0].task.job == "other");
+}
+
+TEST_CASE("runs of the previous incarnation are stopped in the new one, then start again",
+          "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1", 1);
+    cell.accept("j", {cell.step(1)});
+    cell.startLeading();
+    cell.reportTarget("t1", 1);
+    cell.runFor({20});
+    REQUIRE(cell.targetOf(firstTask) == "t1");
+    cell.orders.clear(); // what was sent may arrive at the new incarnation
+    cell.reportTarget("t1", 2);
+    cell.runFor({30});
+    const auto stops = cell.pendingOrders(order_kind::Stop, "t1");
+    REQUIRE(stops.size() == 1);
+    CHECK(stops[0].incarnation == 2);
+    CHECK(cell.taskStatus(firstTask) == task_status::Running);
+    cell.answerOrders(order_kind::Stop, order_result::Done);
+    cell.reportTarget("t1", 2);
+    cell.runFor({30});
+    // It may have started there, and take a while to stop.
+    CHECK(findTask(cell.state, firstTask)->run == 1);
+    cell.answerOrders(order_kind::Poll, order_result::Done, "t1");
+    cell.runFor({200});
+    // Sent after the stop was answered.
+    cell.answerOrders(order_kind::Poll, order_result::Done, "t1");
+    cell.runFor({30});
+    CHECK(findTask(cell.state, firstTask)->run == 2);
+    CHECK(findTask(cell.state, firstTask)->incarnation == 2);
+}
+
+TEST_CASE(
+    "the expiry of a lease of the previous incarnation is not judged by the clock of the new one",
+    "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1", 1);
+    cell.accept("j", {cell.step(1)});
+    cell.startLeading();
+    cell.runTargets({8'000}, {"t1"}); // longer than leases of an earlier term can last
+    REQUIRE(cell.targetOf(firstTask) == "t1");
+    cell.orders.clear(); // the new incarnation may still carry out starts and polls sent so far
+    cell.reportTarget("t1", 2);
+    cell.runFor({100});
+    CHECK(findTask(cell.state, firstTask)->run == 1);
+    CHECK(cell.pendingOrders(order_kind::Stop, "t1").size() == 1);
+    // It is silent: a late order may still be carried out, with a lease of 6 s.
+    cell.runFor({10'000});
+    CHECK(findTask(cell.state, firstTask)->run == 1);
+    CHECK(cell.taskStatus(firstTask) == task_status::Running);
+    cell.runFor({9'000});
+    CHECK(cell.taskStatus(firstTask) == task_status::Waiting);
+}
+
+TEST_CASE("a report that a later one has overtaken does not update the clock", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1");
+    cell.startLeading();
+    cell.reportTarget("t1");
+    auto lateReport = work_fixture::life("t1", 1);
+    lateReport.set_sequence(3);
+    lateReport.set_clock_ms(5);
+    CHECK_FALSE(handleTargetReport(*cell.leader, lateReport, cell.now));
+    CHECK(cell.leader->targets.at("t1").clockMs == cell.now.ms);
+}
+
+TEST_CASE("a draining target gets no work, and long-running tasks are stopped there", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1");
+    auto spec = cell.step(1);
+    spec.set_lasts(true);
+    cell.accept("j", {spec});
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({20});
+    cell.executeOrders("t1");
+    cell.target("t2");
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.reportTarget("t2");
+    cell.runFor({10});
+    cell.executeOrders("t1");
+    cell.now = cell.now + milliseconds {10};
+    cell.reportTarget("t1", 1, true);
+    cell.runFor({30});
+    CHECK_FALSE(cell.acceptsWorkAt("t1"));
+    CHECK(cell.pendingOrders(order_kind::Stop, "t1").size() == 1);
+}
+
+TEST_CASE("the lease of a target that reported its end is not renewed, and its runs end with it",
+          "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.placeOneTask();
+    handleTargetLeaving(*cell.leader, "t1", cell.now);
+    const auto lease = cell.leader->settings.targetLease;
+    for (const auto end = cell.now + lease; cell.now < end;) {
+        cell.executeOrders("t1"); // it got no acknowledgement and runs on
+        for (const auto &order : cell.pendingOrders(order_kind::Poll)) {
+            CHECK(order.leaseExpiresAt == 0);
+        }
+        cell.runFor({100});
+        CHECK(cell.taskStatus(firstTask) == task_status::Running);
+    }
+    cell.runFor({600});
+    CHECK(cell.taskStatus(firstTask) == task_status::Waiting);
+    CHECK(cell.state.targets.at("t1").hasEnded);
+}
+
+TEST_CASE("a task that makes no progress is stopped and its target is quarantined", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.placeOneTask();
+    for (int i = 0; i < 35 && cell.pendingOrders(order_kind::Stop).empty(); ++i) {
+        cell.reportTarget("t1");
+        cell.answerOrders(order_kind::Start, order_result::Done);
+        order_answer list;
+        reported_run run;
+        run.task = firstTask;
+        run.run = 1;
+        run.percentDone = 12;
+        list.runs.push_back(run);
+        cell.answerOrders(order_kind::Poll, order_result::Done, "t1", list);
+        cell.runFor({100});
+    }
+    CHECK(cell.pendingOrders(order_kind::Stop).size() == 1);
+    CHECK_FALSE(cell.acceptsWorkAt("t1"));
+}
+
+TEST_CASE("a task is not stopped for lack of progress while polls are not answered", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.placeOneTask();
+    cell.runTargets({500}, {"t1"});
+    REQUIRE(cell.taskStatus(firstTask) == task_status::Running);
+    for (int i = 0; i < 4; ++i) { // reports arrive, but the process that polled has ended
+        cell.reportTarget("t1");
+        cell.runFor({1'000});
+    }
+    CHECK(cell.pendingOrders(order_kind::Stop).empty());
+}
+
+TEST_CASE("a silent target without runs is not polled until its next report", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.target("t1");
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.runFor({4'000});
+    cell.answerOrders(order_kind::Poll, order_result::Unreachable);
+    cell.runFor({1'000});
+    CHECK(cell.pendingOrders(order_kind::Poll).empty());
+    cell.reportTarget("t1");
+    cell.runFor({100});
+    CHECK(cell.pendingOrders(order_kind::Poll).size() == 1);
+}
+
+namespace {
+
+/** Lets two targets run a task each, and loses one answer of each. */
+void loseAnswers(dispatch_fixture &cell)
+{
+    cell.target("t1");
+    cell.target("t2");
+    cell.accept("j", {cell.step(2, 8'000)});
+    cell.startLeading();
+    cell.reportTarget("t1");
+    cell.reportTarget("t2");
+    cell.runFor({20});
+    cell.answerOrders(order_kind::Start, order_result::Unanswered);
+    cell.runFor({60});
+    cell.answerOrders(order_kind::Start, order_result::Done);
+    cell.runFor({20});
+}
+
+} // namespace
+
+TEST_CASE("where answers get lost, another poll is sent soon", "[dispatch]")
+{
+    dispatch_fixture cell;
+    loseAnswers(cell);
+    cell.executeOrders("t1");
+    cell.runFor({20});
+    REQUIRE(cell.pendingOrders(order_kind::Poll, "t1").size() == 1);
+    cell.runFor({450}); // a run has ended meanwhile, and the poll is not answered
+    CHECK(cell.pendingOrders(order_kind::Poll, "t1").size() == 2);
+    order_answer lateAnswer;
+    lateAnswer.ends.push_back({1, {"j", 0, 0, 0}, 1, messages::END_DONE, {}});
+    const auto polls = cell.pendingOrders(order_kind::Poll, "t1");
+    const auto targetId = cell.targetOf({"j", 0, 0, 0});
+    lateAnswer.ends[0].task.index = targetId == "t1" ? 0 : 1;
+    lateAnswer.result = order_result::Done;
+    lateAnswer.clockMs = cell.now.ms;
+    // The older poll: its answer still counts.
+    handleOrderAnswer(*cell.leader, polls[0], lateAnswer, cell.now);
+    cell.runFor({20});
+    CHECK(cell.taskStatus(lateAnswer.ends[0].task) == task_status::Done);
+}
+
+TEST_CASE("where answers get lost, a single missing answer does not make a target suspect",
+          "[dispatch]")
+{
+    dispatch_fixture cell;
+    loseAnswers(cell);
+    cell.executeOrders("t1");
+    cell.executeOrders("t2");
+    cell.runFor({100});
+    cell.answerOrders(order_kind::Poll, order_result::Unanswered);
+    cell.runFor({20});
+    CHECK_FALSE(cell.leader->targets.at("t1").isSuspect);
+    for (int i = 0; i < 3; ++i) { // silent for longer than the network alone explains
+        cell.runFor({450});
+        cell.answerOrders(order_kind::Poll, order_result::Unanswered, "t1");
+    }
+    CHECK(cell.leader->targets.at("t1").isSuspect);
+}
+
+TEST_CASE("the lost answer of a single target does not shorten the polls", "[dispatch]")
+{
+    dispatch_fixture cell;
+    cell.placeOneTask();
+    cell.answerOrders(order_kind::Start, order_result::Unanswered);
+    cell.runFor({60});
+    cell.answerOrders(order_kind::Start, order_result::Done);
+    cell.executeOrders("t1");
+    cell.runFor({20});
+    const auto polls = cell.pendingOrders(order_kind::Poll);
+    REQUIRE(polls.size() == 1);
+    CHECK(polls.back().pollWait == cell.leader->settings.pollWait);
+}
--- a/modules/filbert_dispatch/ticket_requests.cpp
+++ b/modules/filbert_dispatch/ticket_requests.cpp
@@ -1,6 +1,6 @@
 #include "ticket_requests.h"
 
-#include "admission_desk.h"
+#include "admission_requests.h"
 
 #include <algorithm>
 
@@ -13,32 +13,32 @@
 // meanwhile. Each further target costs time of the service, and bytes on a link that start orders
 // need too.
 constexpr std::size_t targetsPerTask = 3;
-constexpr std::size_t targetsBesides = 15;
+constexpr std::size_t extraTargets = 15;
 constexpr std::size_t targetsPerCostlyCall = 20; // if each named target takes 4 ms or more
 constexpr double costlyPerTargetMs = 4.0;
 // Calls of a costly policy run in parallel, since one after the other they take seconds. A step
 // uses only a share of the free callers, which leaves some to other steps.
-constexpr std::size_t mostCostlyCalls = 3;
-constexpr std::size_t sparePerCall = 2;
-constexpr std::size_t targetsPerRefresh =
-    8; // tickets to renew, besides one for each member of a gang
-constexpr milliseconds slowPolicy {
-    300}; // from here on tickets are renewed before there is capacity
-constexpr milliseconds askPause {100}; // between requests of a step for further tickets
+constexpr std::size_t maxCostlyCalls = 3;
+constexpr std::size_t spareCallersPerCall = 2;
+// Tickets to renew, besides one for each member of a gang.
+constexpr std::size_t targetsPerRefresh = 8;
+// If a call takes this long, tickets are renewed before there is capacity.
+constexpr milliseconds slowAdmissionTime {300};
+constexpr milliseconds requestDelay {100}; // between requests of a step for further tickets
 
 bool isCostly(const messages::work_queue &queue)
 {
     return queue.admission().per_target_ms() >= costlyPerTargetMs;
 }
 
-std::size_t costlyCallsNow(const placement_pass &pass)
+std::size_t costlyCallLimit(const placement_pass &pass)
 {
-    return std::clamp<std::size_t>(countSpareCallers(pass.state, pass.now) / sparePerCall, 1,
-                                   mostCostlyCalls);
+    return std::clamp<std::size_t>(countSpareCallers(pass.state, pass.now) / spareCallersPerCall, 1,
+                                   maxCostlyCalls);
 }
 
-void request(placement_pass &pass, const pending_step &step,
-             const std::vector<std::string> &targets)
+void requestAdmissionFor(placement_pass &pass, const pending_step &step,
+                         const std::vector<std::string> &targets)
 {
     requestAdmission(pass.state, step.name, *step.queue, targets,
                      isCostly(*step.queue) ? targetsPerCostlyCall : targetsPerRequest, pass.now);
@@ -46,65 +46,65 @@
 
 /** @return targets to name in a request, the best fits with free capacity first
     @param isRefresh  whether to renew tickets, instead of requesting those of further targets */
-std::vector<std::string> targetsToAsk(const placement_pass &pass, const pending_step &step,
-                                      const service_view &service, const admission_view &view,
-                                      bool isRefresh)
+std::vector<std::string> targetsToRequest(const placement_pass &pass, const pending_step &step,
+                                          const service_view &service, const admission_view &view,
+                                          bool isRefresh)
 {
-    constexpr double fullCost = 1'000.0; // puts targets without capacity after all others
-    std::vector<std::pair<double, std::size_t>> wanted;
+    constexpr double noCapacityCost = 1'000.0; // puts targets without capacity after all others
+    std::vector<std::pair<double, std::size_t>> ranked;
     for (std::size_t i = 0; i < service.candidates.size(); ++i) {
-        const auto &room = service.candidates[i];
-        const auto &id = room.target->id;
-        if (isEligible(step, room)
+        const auto &candidate = service.candidates[i];
+        const auto &id = candidate.target->id;
+        if (isEligible(step, candidate)
             && (isRefresh ? view.tickets.contains(id) : !view.requestedTargets.contains(id))) {
-            const bool hasRoom = hasCapacityFor(pass, step, service, room);
-            wanted.emplace_back(fitCost(step, room) + (hasRoom ? 0.0 : fullCost), i);
+            const bool hasCapacity = hasCapacityFor(pass, step, service, candidate);
+            ranked.emplace_back(fitCost(step, candidate) + (hasCapacity ? 0.0 : noCapacityCost), i);
         }
     }
     const auto tasks = static_cast<std::size_t>(step.spec->count());
-    const auto useful = std::min(targetsPerRequest, tasks * targetsPerTask + targetsBesides);
-    const auto renewed = targetsPerRefresh + (step.spec->is_gang() ? tasks : 0);
-    const auto most = isRefresh ? renewed
-        : isCostly(*step.queue) ? targetsPerCostlyCall * costlyCallsNow(pass)
-                                : useful;
-    const auto count = std::min(most, wanted.size());
-    std::partial_sort(wanted.begin(), wanted.begin() + static_cast<std::ptrdiff_t>(count),
-                      wanted.end());
+    const auto maxNewTargets = std::min(targetsPerRequest, tasks * targetsPerTask + extraTargets);
+    const auto maxRenewals = targetsPerRefresh + (step.spec->is_gang() ? tasks : 0);
+    const auto maxTargets = isRefresh ? maxRenewals
+        : isCostly(*step.queue)       ? targetsPerCostlyCall * costlyCallLimit(pass)
+                                      : maxNewTargets;
+    const auto count = std::min(maxTargets, ranked.size());
+    std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count),
+                      ranked.end());
     std::vector<std::string> ids;
     for (std::size_t i = 0; i < count; ++i) {
-        ids.push_back(service.candidates[wanted[i].second].target->id);
+        ids.push_back(service.candidates[ranked[i].second].target->id);
     }
     return ids;
 }
 
 /** @return how many tasks fit into free resources, up to a maximum */
-std::int64_t countFitting(const resource_amounts &need, const resource_amounts &left,
-                          std::int64_t most)
+std::int64_t countFitting(const resource_amounts &need, const resource_amounts &free,
+                          std::int64_t maxCount)
 {
     const auto times = [&](std::int64_t needed, std::int64_t available) {
-        return needed > 0 ? std::min(most, available / needed) : most;
+        return needed > 0 ? std::min(maxCount, available / needed) : maxCount;
     };
-    return std::min({times(need.milliCores, left.milliCores), times(need.memoryMb, left.memoryMb),
-                     times(need.accelerators, left.accelerators)});
+    return std::min({times(need.milliCores, free.milliCores), times(need.memoryMb, free.memoryMb),
+                     times(need.accelerators, free.accelerators)});
 }
 
 /** Whether the admitted targets have capacity for what starts at once: a task or a whole gang. */
-bool hasAdmittedRoom(const placement_pass &pass, const pending_step &step,
-                     const service_view &service, const admission_view &view)
+bool hasAdmittedCapacity(const placement_pass &pass, const pending_step &step,
+                         const service_view &service, const admission_view &view)
 {
-    const std::int64_t wanted = step.spec->is_gang() ? step.spec->count() : 1;
-    std::int64_t found = 0;
+    const std::int64_t requiredTasks = step.spec->is_gang() ? step.spec->count() : 1;
+    std::int64_t fittingTasks = 0;
     for (const auto &[id, ticket] : view.tickets) {
         const auto index = service.candidateById.find(id);
         if (index == service.candidateById.end()) {
             continue;
         }
-        const auto &room = service.candidates[index->second];
-        if (isEligible(step, room) && hasCapacityFor(pass, step, service, room)) {
-            found += countFitting(step.need, room.free, wanted);
+        const auto &candidate = service.candidates[index->second];
+        if (isEligible(step, candidate) && hasCapacityFor(pass, step, service, candidate)) {
+            fittingTasks += countFitting(step.need, candidate.free, requiredTasks);
         }
     }
-    return found >= wanted;
+    return fittingTasks >= requiredTasks;
 }
 
 } // namespace
@@ -119,24 +119,25 @@
         return;
     }
     if (view.requestedTargets.empty()) {
-        request(pass, step, targetsToAsk(pass, step, service, view, false));
+        requestAdmissionFor(pass, step, targetsToRequest(pass, step, service, view, false));
         return;
     }
     const auto &policy = step.queue->admission();
-    if (hasAdmittedRoom(pass, step, service, view)) {
-        request(pass, step, targetsToAsk(pass, step, service, view, true));
+    if (hasAdmittedCapacity(pass, step, service, view)) {
+        requestAdmissionFor(pass, step, targetsToRequest(pass, step, service, view, true));
         return;
     }
-    const auto others = targetsToAsk(pass, step, service, view, false);
-    const bool hasFresh = std::any_of(view.tickets.begin(), view.tickets.end(), [&](auto &each) {
-        return isTicketUsable(pass.state, each.second, policy, pass.now);
-    });
-    if (!others.empty()) {
-        request(pass, step, others);
-    } else if (admissionTime(policy, 1) >= slowPolicy && !hasFresh) {
-        request(pass, step, targetsToAsk(pass, step, service, view, true));
+    const auto furtherTargets = targetsToRequest(pass, step, service, view, false);
+    const bool hasUsableTicket =
+        std::any_of(view.tickets.begin(), view.tickets.end(), [&](auto &each) {
+            return isTicketUsable(pass.state, each.second, policy, pass.now);
+        });
+    if (!furtherTargets.empty()) {
+        requestAdmissionFor(pass, step, furtherTargets);
+    } else if (admissionTime(policy, 1) >= slowAdmissionTime && !hasUsableTicket) {
+        requestAdmissionFor(pass, step, targetsToRequest(pass, step, service, view, true));
     }
-    view.nextRequestAt = pass.now + askPause;
+    view.nextRequestAt = pass.now + requestDelay;
 }
 
 void prefetchTickets(placement_pass &pass, const pending_step &step)
@@ -151,7 +152,7 @@
         return;
     }
     const auto &service = serviceOf(pass, step.queue->service());
-    request(pass, step, targetsToAsk(pass, step, service, admission, false));
+    requestAdmissionFor(pass, step, targetsToRequest(pass, step, service, admission, false));
 }
 
 } // namespace filbert
