--- a/modules/filbert_replication/elections.cpp
+++ b/modules/filbert_replication/elections.cpp
@@ -12,11 +12,11 @@
 
 // The random part of an election timeout is at most the timeout divided by this. It spreads the
 // elections of different members many round trips and syncs apart, and still starts them soon.
-constexpr std::int64_t spreadPart = 2;
+constexpr std::int64_t jitterDivisor = 2;
 // A failed pre-vote is repeated after one to two times the election timeout divided by this. A
 // pre-vote fails if other members heard the leader slightly later than this one; repeating it soon
 // is harmless because it raises no member's term.
-constexpr std::int64_t retryPart = 6;
+constexpr std::int64_t retryDivisor = 6;
 
 /** SplitMix64 (Steele et al. 2014), a random generator with its state in the member's state. */
 std::uint64_t nextRandom(replicated_log_state &state)
@@ -27,9 +27,9 @@
     return z ^ (z >> 31);
 }
 
-milliseconds randomSpan(replicated_log_state &state, milliseconds below)
+milliseconds randomDuration(replicated_log_state &state, milliseconds limit)
 {
-    const auto bound = static_cast<std::uint64_t>(std::max<std::int64_t>(below.count, 1));
+    const auto bound = static_cast<std::uint64_t>(std::max<std::int64_t>(limit.count, 1));
     return {static_cast<std::int64_t>(nextRandom(state) % bound)};
 }
 
@@ -48,8 +48,8 @@
     return granted * 2 > voters;
 }
 
-void askForVotes(const replicated_log_state &state, bool isPreVote, bool isHandOver,
-                 replication_effects *effects)
+void requestVotes(const replicated_log_state &state, bool isPreVote, bool isTransfer,
+                  replication_effects *effects)
 {
     for (const auto &member : state.membership.members()) {
         if (member.identity() == state.self || member.learner()) {
@@ -63,7 +63,7 @@
         request->set_pre_vote(isPreVote);
         request->set_last_index(lastIndex(state));
         request->set_last_term(lastTerm(state));
-        request->set_hand_over(isHandOver);
+        request->set_hand_over(isTransfer);
         effects->messagesAfterSync.push_back(message);
     }
 }
@@ -86,11 +86,11 @@
     effects->hasRoleChanged = true;
     // Entries of earlier terms are committed only together with one of the leader's own term (Raft
     // paper, section 5.4.2), so a new leader appends an empty entry.
-    appendOwn(state, messages::NOOP, {}, effects);
+    appendAsLeader(state, messages::NOOP, {}, effects);
     sendHeartbeats(state, now, effects);
 }
 
-bool hasHeardLeader(const replicated_log_state &state, time_point now)
+bool hasRecentLeaderContact(const replicated_log_state &state, time_point now)
 {
     return now - state.lastLeaderContactAt < state.settings.electionTimeout;
 }
@@ -111,10 +111,10 @@
                [&](const auto &each) { return !each.learner() && each.identity() != state.self; });
 }
 
-void resetElection(replicated_log_state &state, time_point now)
+void resetElectionTimer(replicated_log_state &state, time_point now)
 {
     const auto timeout = state.settings.electionTimeout;
-    state.electionDeadline = now + timeout + randomSpan(state, {timeout.count / spreadPart});
+    state.electionDeadline = now + timeout + randomDuration(state, {timeout.count / jitterDivisor});
 }
 
 void becomeFollower(replicated_log_state &state, std::uint64_t term, const std::string &leader,
@@ -136,17 +136,17 @@
     state.leader = leader;
     state.transferDeadline.reset();
     state.votes.clear();
-    resetElection(state, now);
+    resetElectionTimer(state, now);
 }
 
 void startPreVote(replicated_log_state &state, time_point now, replication_effects *effects)
 {
-    resetElection(state, now);
+    resetElectionTimer(state, now);
     if (!isVoter(state, state.self)) {
         return;
     }
-    const milliseconds pause {state.settings.electionTimeout.count / retryPart};
-    state.electionDeadline = now + pause + randomSpan(state, pause);
+    const milliseconds retryDelay {state.settings.electionTimeout.count / retryDivisor};
+    state.electionDeadline = now + retryDelay + randomDuration(state, retryDelay);
     if (isSoleVoter(state)) {
         startElection(state, now, false, effects);
         return;
@@ -154,10 +154,10 @@
     state.role = replica_role::PreCandidate;
     state.leader.clear();
     state.votes = {{state.self, true}};
-    askForVotes(state, true, false, effects);
+    requestVotes(state, true, false, effects);
 }
 
-void startElection(replicated_log_state &state, time_point now, bool isHandOver,
+void startElection(replicated_log_state &state, time_point now, bool isTransfer,
                    replication_effects *effects)
 {
     if (!isVoter(state, state.self)) {
@@ -169,7 +169,7 @@
     state.leader.clear();
     state.votes = {{state.self, true}};
     effects->mustPersist = true;
-    resetElection(state, now);
+    resetElectionTimer(state, now);
     if (hasQuorum(state)) {
         becomeLeader(state, now, effects);
         // The new term is not on disk yet, so no message may be sent before the sync.
@@ -178,26 +178,26 @@
         effects->messagesBeforeSync.clear();
         return;
     }
-    askForVotes(state, false, isHandOver, effects);
+    requestVotes(state, false, isTransfer, effects);
 }
 
-bool isVoteToIgnore(const replicated_log_state &state, const messages::replication_message &message,
-                    time_point now)
+bool isVoteRequestToIgnore(const replicated_log_state &state,
+                           const messages::replication_message &message, time_point now)
 {
     if (message.body_case() != messages::replication_message::kVote || message.vote().hand_over()) {
         return false;
     }
-    return state.role == replica_role::Leader || hasHeardLeader(state, now);
+    return state.role == replica_role::Leader || hasRecentLeaderContact(state, now);
 }
 
-void takeVoteRequest(replicated_log_state &state, const std::string &from,
-                     const messages::vote_request &request, time_point now,
-                     replication_effects *effects)
+void handleVoteRequest(replicated_log_state &state, const std::string &from,
+                       const messages::vote_request &request, time_point now,
+                       replication_effects *effects)
 {
     const bool isUpToDate = request.last_term() > lastTerm(state)
         || (request.last_term() == lastTerm(state) && request.last_index() >= lastIndex(state));
-    const bool isLeaderAlive =
-        !request.hand_over() && (state.role == replica_role::Leader || hasHeardLeader(state, now));
+    const bool isLeaderAlive = !request.hand_over()
+        && (state.role == replica_role::Leader || hasRecentLeaderContact(state, now));
     messages::replication_message answer;
     answer.set_from(state.self);
     answer.set_to(from);
@@ -214,14 +214,15 @@
         reply->set_granted(true);
         state.votedFor = from;
         effects->mustPersist = true;
-        resetElection(state, now);
+        resetElectionTimer(state, now);
     }
     reply->set_term(state.term);
     effects->messagesAfterSync.push_back(answer);
 }
 
-void takeVoteReply(replicated_log_state &state, const std::string &from,
-                   const messages::vote_reply &reply, time_point now, replication_effects *effects)
+void handleVoteReply(replicated_log_state &state, const std::string &from,
+                     const messages::vote_reply &reply, time_point now,
+                     replication_effects *effects)
 {
     if (reply.pre_vote()) {
         if (state.role != replica_role::PreCandidate || reply.term() != state.term + 1) {
--- a/modules/filbert_replication/elections.h
+++ b/modules/filbert_replication/elections.h
@@ -12,7 +12,7 @@
                     time_point now, replication_effects *effects);
 
 /** Restarts the election timer with a random timeout. */
-void resetElection(replicated_log_state &state, time_point now);
+void resetElectionTimer(replicated_log_state &state, time_point now);
 
 /** Starts a pre-vote, which finds out whether an election could be won without raising any
     member's term. */
@@ -22,19 +22,20 @@
 
     @param isTransfer  the leader asked for the election, so voters disregard its lease
 */
-void startElection(replicated_log_state &state, time_point now, bool isHandOver,
+void startElection(replicated_log_state &state, time_point now, bool isTransfer,
                    replication_effects *effects);
 
-void takeVoteRequest(replicated_log_state &state, const std::string &from,
-                     const messages::vote_request &request, time_point now,
-                     replication_effects *effects);
+void handleVoteRequest(replicated_log_state &state, const std::string &from,
+                       const messages::vote_request &request, time_point now,
+                       replication_effects *effects);
 
-void takeVoteReply(replicated_log_state &state, const std::string &from,
-                   const messages::vote_reply &reply, time_point now, replication_effects *effects);
+void handleVoteReply(replicated_log_state &state, const std::string &from,
+                     const messages::vote_reply &reply, time_point now,
+                     replication_effects *effects);
 
 /** Whether a message is a vote request to ignore, because a leader may hold its lease. */
-bool isVoteToIgnore(const replicated_log_state &state, const messages::replication_message &message,
-                    time_point now);
+bool isVoteRequestToIgnore(const replicated_log_state &state,
+                           const messages::replication_message &message, time_point now);
 
 /** Whether a member may vote and be elected: it is in the membership and no learner. */
 bool isVoter(const replicated_log_state &state, const std::string &identity);
--- a/modules/filbert_replication/filbert_replication.h
+++ b/modules/filbert_replication/filbert_replication.h
@@ -15,13 +15,13 @@
 
     - replicated_log.h: the consensus algorithm as functions on plain state, without I/O or clock.
     - log_effects.h: stores what the algorithm wants on disk.
-    - log_member.h: one member with its disk; the class that most programs use.
-    - formation.h: decides when a leader adds or removes members.
+    - log_member.h: one member with its disk, as a class that carries out what the algorithm wants.
+    - membership_policy.h: decides when a leader adds or removes members.
 
     Depends on: filbert_core, filbert_messages, filbert_storage (types only).
 */
 
-#include "formation.h"
 #include "log_effects.h"
 #include "log_member.h"
+#include "membership_policy.h"
 #include "replicated_log.h"
--- a/modules/filbert_replication/log_access.cpp
+++ b/modules/filbert_replication/log_access.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-void takeMembership(replicated_log_state &state, const messages::log_entry &entry)
+void applyMembershipEntry(replicated_log_state &state, const messages::log_entry &entry)
 {
     if (entry.kind() != messages::MEMBERSHIP) {
         return;
@@ -37,7 +37,7 @@
     }
     state.durableIndex = std::min(state.durableIndex, lastIndex(state));
     if (state.membershipIndex >= index) {
-        restoreMembers(state);
+        restoreMembership(state);
     }
 }
 
@@ -71,9 +71,10 @@
     return entryAt(state, index).term();
 }
 
-const messages::member *findMember(const messages::membership &members, const std::string &identity)
+const messages::member *findMember(const messages::membership &membership,
+                                   const std::string &identity)
 {
-    for (const auto &member : members.members()) {
+    for (const auto &member : membership.members()) {
         if (member.identity() == identity) {
             return &member;
         }
@@ -81,8 +82,8 @@
     return nullptr;
 }
 
-void appendOwn(replicated_log_state &state, messages::entry_kind kind, std::string payload,
-               replication_effects *effects)
+void appendAsLeader(replicated_log_state &state, messages::entry_kind kind, std::string payload,
+                    replication_effects *effects)
 {
     messages::log_entry entry;
     entry.set_index(lastIndex(state) + 1);
@@ -92,7 +93,7 @@
     state.entries.push_back(entry);
     effects->entriesToPersist.push_back(entry);
     effects->mustPersist = true;
-    takeMembership(state, entry);
+    applyMembershipEntry(state, entry);
 }
 
 void appendFromLeader(replicated_log_state &state, const messages::log_entry &entry,
@@ -101,11 +102,11 @@
     if (entry.index() <= state.snapshot.index()) {
         return;
     }
-    const auto held = termAt(state, entry.index());
-    if (held == entry.term()) {
+    const auto heldTerm = termAt(state, entry.index());
+    if (heldTerm == entry.term()) {
         return;
     }
-    if (held) {
+    if (heldTerm) {
         truncateFrom(state, entry.index());
         std::erase_if(effects->entriesToPersist,
                       [&](const auto &each) { return each.index() >= entry.index(); });
@@ -114,14 +115,14 @@
     state.entries.push_back(entry);
     effects->entriesToPersist.push_back(entry);
     effects->mustPersist = true;
-    takeMembership(state, entry);
+    applyMembershipEntry(state, entry);
 }
 
 void commitTo(replicated_log_state &state, std::uint64_t index, replication_effects *effects)
 {
-    const auto target = std::min(index, lastIndex(state));
-    FILBERT_INVARIANT(target >= state.commitIndex, "the commit index never decreases");
-    state.commitIndex = target;
+    const auto newCommitIndex = std::min(index, lastIndex(state));
+    FILBERT_INVARIANT(newCommitIndex >= state.commitIndex, "the commit index never decreases");
+    state.commitIndex = newCommitIndex;
     while (state.appliedIndex < state.commitIndex) {
         ++state.appliedIndex;
         effects->entriesToApply.push_back(entryAt(state, state.appliedIndex));
@@ -138,11 +139,11 @@
     return hint;
 }
 
-void installIncoming(replicated_log_state &state, replication_effects *effects)
+void installIncomingSnapshot(replicated_log_state &state, replication_effects *effects)
 {
-    const bool hasRightTail =
+    const bool isTailConsistent =
         termAt(state, state.incomingSnapshotHeader.index()) == state.incomingSnapshotHeader.term();
-    if (hasRightTail) {
+    if (isTailConsistent) {
         // The entries after the snapshot may have been acknowledged, so that a quorum depends on
         // them. They must be kept (Raft paper, section 7).
         while (!state.entries.empty()
@@ -165,30 +166,30 @@
     effects->entriesToApply.clear();
     effects->mustPersist = true;
     effects->mustInstall = true;
-    restoreMembers(state);
+    restoreMembership(state);
 }
 
-void restoreMembers(replicated_log_state &state)
+void restoreMembership(replicated_log_state &state)
 {
     state.membership = state.snapshot.members();
     state.membershipIndex = state.snapshot.index();
     for (const auto &entry : state.entries) {
-        takeMembership(state, entry);
+        applyMembershipEntry(state, entry);
     }
 }
 
-messages::membership membersAt(const replicated_log_state &state, std::uint64_t index)
+messages::membership membershipAt(const replicated_log_state &state, std::uint64_t index)
 {
-    auto members = state.snapshot.members();
+    auto membership = state.snapshot.members();
     for (const auto &entry : state.entries) {
         if (entry.index() > index) {
             break;
         }
         if (entry.kind() == messages::MEMBERSHIP) {
-            members.ParseFromString(entry.payload());
+            membership.ParseFromString(entry.payload());
         }
     }
-    return members;
+    return membership;
 }
 
 } // namespace filbert
--- a/modules/filbert_replication/log_access.h
+++ b/modules/filbert_replication/log_access.h
@@ -5,8 +5,8 @@
 namespace filbert {
 
 /** Appends an entry of the current term to the leader's own log. */
-void appendOwn(replicated_log_state &state, messages::entry_kind kind, std::string payload,
-               replication_effects *effects);
+void appendAsLeader(replicated_log_state &state, messages::entry_kind kind, std::string payload,
+                    replication_effects *effects);
 
 /** Appends an entry received from the leader. An entry with the same index and another term is
     removed together with all entries after it. */
@@ -22,13 +22,13 @@
 
 /** Replaces the snapshot, and the entries that it covers, by the snapshot that was received
     completely. */
-void installIncoming(replicated_log_state &state, replication_effects *effects);
+void installIncomingSnapshot(replicated_log_state &state, replication_effects *effects);
 
 /** Sets the membership to the newest one in the snapshot and the log. */
-void restoreMembers(replicated_log_state &state);
+void restoreMembership(replicated_log_state &state);
 
 /** @return the membership in force at an index */
-messages::membership membersAt(const replicated_log_state &state, std::uint64_t index);
+messages::membership membershipAt(const replicated_log_state &state, std::uint64_t index);
 
 /** @return the entry at an index, which must be after the snapshot and in the log */
 const messages::log_entry &entryAt(const replicated_log_state &state, std::uint64_t index);
--- a/modules/filbert_replication/log_member.cpp
+++ b/modules/filbert_replication/log_member.cpp
@@ -29,9 +29,9 @@
 
 void log_member::tick(time_point now)
 {
-    const auto before = log.role;
+    const auto roleBefore = log.role;
     tickLog(log, now, &effects);
-    if (before == replica_role::Leader && log.role != replica_role::Leader) {
+    if (roleBefore == replica_role::Leader && log.role != replica_role::Leader) {
         log_line {"leadership_lost"}
             .with("term", log.term)
             .with("cause", "no answer from a quorum");
@@ -45,10 +45,10 @@
     return error;
 }
 
-std::error_code log_member::proposeMembershipChange(bool add, const messages::member &which,
+std::error_code log_member::proposeMembershipChange(bool add, const messages::member &member,
                                                     time_point now)
 {
-    return changeMembership(log, add, which, now, &effects);
+    return changeMembership(log, add, member, now, &effects);
 }
 
 void log_member::transferLeadership(time_point now)
@@ -58,7 +58,7 @@
     }
 }
 
-void log_member::sendAll(std::vector<messages::replication_message> *messages)
+void log_member::sendMessages(std::vector<messages::replication_message> *messages)
 {
     for (const auto &message : std::exchange(*messages, {})) {
         hooks.send(recipientOf(log, message), message);
@@ -67,16 +67,17 @@
 
 std::error_code log_member::compact(time_point now)
 {
-    const auto since = log.appliedIndex - log.snapshot.index();
-    const bool isDue = since > 0 && now >= snapshotNotBefore && effects.entriesToApply.empty()
-        && (since >= snapshots.entries || store.logBytes() >= snapshots.bytes);
+    const auto entriesSinceSnapshot = log.appliedIndex - log.snapshot.index();
+    const bool isDue = entriesSinceSnapshot > 0 && now >= nextSnapshotAttempt
+        && effects.entriesToApply.empty()
+        && (entriesSinceSnapshot >= snapshots.entries || store.logBytes() >= snapshots.bytes);
     if (!isDue) {
         return {};
     }
     auto data = hooks.makeSnapshot();
     const auto error = store.saveSnapshot(snapshotHeaderAt(log, log.appliedIndex), data);
     if (error == error_kind::DiskFull) {
-        snapshotNotBefore = now + snapshots.retryDelay;
+        nextSnapshotAttempt = now + snapshots.retryDelay;
         log_line {"snapshot_failed", log_line::severity::Warning}.with("error", error.message());
         return {};
     }
@@ -88,9 +89,9 @@
     return {};
 }
 
-std::size_t log_member::applyCommitted(std::size_t most)
+std::size_t log_member::applyCommitted(std::size_t maxEntries)
 {
-    const auto count = std::min(most, effects.entriesToApply.size());
+    const auto count = std::min(maxEntries, effects.entriesToApply.size());
     const auto end = effects.entriesToApply.begin() + static_cast<std::ptrdiff_t>(count);
     const std::vector<messages::log_entry> entries {
         std::make_move_iterator(effects.entriesToApply.begin()), std::make_move_iterator(end)};
@@ -103,11 +104,11 @@
 
 std::error_code log_member::flush(time_point now)
 {
-    std::size_t toApply = maxEntriesPerFlush;
+    std::size_t remainingEntries = maxEntriesPerFlush;
     while (effects.mustPersist || effects.mustInstall || !effects.messagesBeforeSync.empty()
            || !effects.messagesAfterSync.empty()
-           || (toApply > 0 && !effects.entriesToApply.empty())) {
-        sendAll(&effects.messagesBeforeSync);
+           || (remainingEntries > 0 && !effects.entriesToApply.empty())) {
+        sendMessages(&effects.messagesBeforeSync);
         const auto error = persistEffects(log, store, now, &effects);
         if (error == error_kind::DiskFull) {
             // Nothing was written, so the messages that depend on it must not be sent. The write is
@@ -122,12 +123,12 @@
             return error;
         }
         hasFullDisk = false;
-        sendAll(&effects.messagesAfterSync);
+        sendMessages(&effects.messagesAfterSync);
         if (std::exchange(effects.mustInstall, false)) {
             hooks.restore(*log.snapshotData);
             log_line {"snapshot_installed"}.with("index", log.snapshot.index());
         }
-        toApply -= applyCommitted(toApply);
+        remainingEntries -= applyCommitted(remainingEntries);
     }
     return compact(now);
 }
--- a/modules/filbert_replication/log_member.h
+++ b/modules/filbert_replication/log_member.h
@@ -70,7 +70,7 @@
     std::error_code propose(std::string payload, time_point now, std::uint64_t *index);
 
     /** Adds or removes a member. @return as filbert::changeMembership() */
-    std::error_code proposeMembershipChange(bool add, const messages::member &which,
+    std::error_code proposeMembershipChange(bool add, const messages::member &member,
                                             time_point now);
 
     /** Transfers leadership to another member, as before a planned stop. */
@@ -98,8 +98,8 @@
     const replicated_log_state &state() const { return log; }
 
 private:
-    void sendAll(std::vector<messages::replication_message> *messages);
-    std::size_t applyCommitted(std::size_t most);
+    void sendMessages(std::vector<messages::replication_message> *messages);
+    std::size_t applyCommitted(std::size_t maxEntries);
     std::error_code compact(time_point now);
 
     replicated_log_state log;
@@ -108,7 +108,7 @@
     log_store &store;
     log_member_hooks hooks;
     std::map<std::string, time_point> lastContactAt;
-    time_point snapshotNotBefore;
+    time_point nextSnapshotAttempt;
     bool hasFullDisk = false;
 };
 
--- a/modules/filbert_replication/formation.cpp
+++ b/modules/filbert_replication/membership_policy.cpp
@@ -1,4 +1,4 @@
-#include "formation.h"
+#include "membership_policy.h"
 
 #include <algorithm>
 
@@ -6,15 +6,16 @@
 
 namespace {
 
-int countVoters(const messages::membership &members)
+int countVoters(const messages::membership &membership)
 {
-    return static_cast<int>(std::count_if(members.members().begin(), members.members().end(),
+    return static_cast<int>(std::count_if(membership.members().begin(), membership.members().end(),
                                           [](const auto &each) { return !each.learner(); }));
 }
 
-bool isAsking(const pending_join &candidate, const membership_settings &settings, time_point now)
+bool isRequestCurrent(const pending_join &pendingJoin, const membership_settings &settings,
+                      time_point now)
 {
-    return now - candidate.lastRequestAt < settings.joinRequestTimeout;
+    return now - pendingJoin.lastRequestAt < settings.joinRequestTimeout;
 }
 
 /** Whether another process uses a member's address, which means that the member lost its disk. */
@@ -25,17 +26,18 @@
         return other.address() == member.address() && other.identity() != member.identity();
     };
     const auto &members = view.membership->members();
-    const auto heardSince = [&](const std::string &identity) {
+    const auto lastContactOf = [&](const std::string &identity) {
         const auto found = view.lastContactAt.find(identity);
         return found == view.lastContactAt.end() ? time_point {} : found->second;
     };
     return std::any_of(members.begin(), members.end(),
                        [&](const auto &other) {
                            return isSuccessor(other)
-                               && heardSince(other.identity()) > heardSince(member.identity());
+                               && lastContactOf(other.identity())
+                               > lastContactOf(member.identity());
                        })
         || std::any_of(view.pendingJoins.begin(), view.pendingJoins.end(), [&](const auto &each) {
-               return isSuccessor(each.member) && isAsking(each, settings, now);
+               return isSuccessor(each.member) && isRequestCurrent(each, settings, now);
            });
 }
 
@@ -43,9 +45,9 @@
               const membership_settings &settings, time_point now)
 {
     const auto found = view.lastContactAt.find(identity);
-    const auto since = std::max(view.leadingSince,
-                                found == view.lastContactAt.end() ? time_point {} : found->second);
-    return now - since >= settings.silenceTimeout;
+    const auto silentSince = std::max(
+        view.leadingSince, found == view.lastContactAt.end() ? time_point {} : found->second);
+    return now - silentSince >= settings.silenceTimeout;
 }
 
 } // namespace
@@ -66,10 +68,10 @@
             return membership_change {false, member, "the learner is silent"};
         }
     }
-    for (const auto &candidate : view.pendingJoins) {
-        const bool isKnown = findMember(*view.membership, candidate.member.identity()) != nullptr;
-        if (!isKnown && isAsking(candidate, settings, now)) {
-            return membership_change {true, candidate.member, "the process requested to join"};
+    for (const auto &pendingJoin : view.pendingJoins) {
+        const bool isKnown = findMember(*view.membership, pendingJoin.member.identity()) != nullptr;
+        if (!isKnown && isRequestCurrent(pendingJoin, settings, now)) {
+            return membership_change {true, pendingJoin.member, "the process requested to join"};
         }
     }
     if (countVoters(*view.membership) <= desiredVoterCount(settings)) {
--- a/modules/filbert_replication/replicated_log.cpp
+++ b/modules/filbert_replication/replicated_log.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t learnerCatchUpEntries = 64;
 // After this many consecutive rejections at the entry after the last acknowledged one, the member
 // is known to have lost entries: there is no earlier entry to go back to.
-constexpr int refusalsOfLostEntries = 3;
+constexpr int lostEntriesThreshold = 3;
 
 void promoteCaughtUpLearner(replicated_log_state &state, time_point now,
                             replication_effects *effects)
@@ -30,9 +30,9 @@
             || progress->second.matchIndex == 0) {
             continue;
         }
-        auto next = state.membership;
-        next.mutable_members(i)->set_learner(false);
-        appendOwn(state, messages::MEMBERSHIP, next.SerializeAsString(), effects);
+        auto newMembership = state.membership;
+        newMembership.mutable_members(i)->set_learner(false);
+        appendAsLeader(state, messages::MEMBERSHIP, newMembership.SerializeAsString(), effects);
         replicate(state, now, effects);
         return;
     }
@@ -41,10 +41,10 @@
 /** @return the highest value that a majority of the voters has reached; 0 if there are no voters
 
     @param own    the value of this member
-    @param field  the value of another member
+    @param field  where follower_progress holds the value of another member
 */
-std::uint64_t agreedByQuorum(const replicated_log_state &state, std::uint64_t own,
-                             std::uint64_t follower_progress::*field)
+std::uint64_t valueReachedByQuorum(const replicated_log_state &state, std::uint64_t own,
+                                   std::uint64_t follower_progress::*field)
 {
     std::vector<std::uint64_t> values;
     for (const auto &member : state.membership.members()) {
@@ -62,7 +62,8 @@
 
 void advanceCommit(replicated_log_state &state, time_point now, replication_effects *effects)
 {
-    const auto agreed = agreedByQuorum(state, state.durableIndex, &follower_progress::matchIndex);
+    const auto agreed =
+        valueReachedByQuorum(state, state.durableIndex, &follower_progress::matchIndex);
     // Only an entry of the leader's own term is committed by counting (Raft paper, section 5.4.2).
     if (agreed <= state.commitIndex || termAt(state, agreed) != state.term) {
         return;
@@ -75,43 +76,43 @@
     }
 }
 
-void takeQuorumRound(replicated_log_state &state)
+void extendLease(replicated_log_state &state)
 {
-    const auto sent = state.roundSendTimes.find(
-        agreedByQuorum(state, state.heartbeatRound, &follower_progress::ackedRound));
-    if (sent == state.roundSendTimes.end()) {
+    const auto quorumRound = state.roundSendTimes.find(
+        valueReachedByQuorum(state, state.heartbeatRound, &follower_progress::ackedRound));
+    if (quorumRound == state.roundSendTimes.end()) {
         return;
     }
     // Followers grant no vote for an election timeout after a message from the leader. Their clocks
     // may run fast by the margin that withClockRateMargin() adds, so the lease is that much
     // shorter.
     const auto timeout = state.settings.electionTimeout;
-    const auto span = timeout - (withClockRateMargin(timeout) - timeout);
-    state.leaseExpiresAt = std::max(state.leaseExpiresAt, sent->second + span);
-    state.lastQuorumContactAt = std::max(state.lastQuorumContactAt, sent->second);
-    state.roundSendTimes.erase(state.roundSendTimes.begin(), sent);
+    const auto leaseDuration = timeout - (withClockRateMargin(timeout) - timeout);
+    state.leaseExpiresAt = std::max(state.leaseExpiresAt, quorumRound->second + leaseDuration);
+    state.lastQuorumContactAt = std::max(state.lastQuorumContactAt, quorumRound->second);
+    state.roundSendTimes.erase(state.roundSendTimes.begin(), quorumRound);
 }
 
 /** Moves the next entry to send back to where the logs may match.
 
     @return whether that is another entry than before
 */
-bool takeRefusal(const replicated_log_state &state, const std::string &from,
-                 const messages::append_reply &reply, follower_progress *progress)
+bool handleRejection(const replicated_log_state &state, const std::string &from,
+                     const messages::append_reply &reply, follower_progress *progress)
 {
-    const auto next =
+    const auto retryIndex =
         std::max(progress->matchIndex + 1, std::min(progress->nextIndex, reply.match() + 1));
-    const bool hasMoved = next != progress->nextIndex;
+    const bool hasMoved = retryIndex != progress->nextIndex;
     progress->isProbing = true;
-    progress->nextIndex = next;
+    progress->nextIndex = retryIndex;
     // A reply from a later round than the last rejection answers a probe at this entry; others
     // answer messages that were sent before.
-    const bool isOfProbe = reply.round() > progress->rejectedRound;
+    const bool isProbeReply = reply.round() > progress->rejectedRound;
     progress->rejectedRound = state.heartbeatRound;
-    if (hasMoved || !isOfProbe) {
+    if (hasMoved || !isProbeReply) {
         return hasMoved;
     }
-    if (++progress->rejections == refusalsOfLostEntries) {
+    if (++progress->rejections == lostEntriesThreshold) {
         log_line {"member_lost_entries", log_line::severity::Error}
             .with("member", from)
             .with("acknowledged", progress->matchIndex)
@@ -120,9 +121,9 @@
     return false;
 }
 
-void takeAppendReply(replicated_log_state &state, const std::string &from,
-                     const messages::append_reply &reply, time_point now,
-                     replication_effects *effects)
+void handleAppendReply(replicated_log_state &state, const std::string &from,
+                       const messages::append_reply &reply, time_point now,
+                       replication_effects *effects)
 {
     const auto found = state.followerProgress.find(from);
     if (state.role != replica_role::Leader || reply.term() != state.term
@@ -132,7 +133,7 @@
     auto &progress = found->second;
     progress.ackedRound = std::max(progress.ackedRound, reply.round());
     progress.isAwaitingReply = false;
-    takeQuorumRound(state);
+    extendLease(state);
     if (reply.accepted()) {
         FILBERT_INVARIANT(reply.match() <= lastIndex(state),
                           "a follower acknowledges no entry that its leader lacks");
@@ -141,7 +142,7 @@
         progress.isProbing = false;
         progress.isReceivingSnapshot = false;
         progress.rejections = 0;
-    } else if (!takeRefusal(state, from, reply, &progress)) {
+    } else if (!handleRejection(state, from, reply, &progress)) {
         return; // the next heartbeat probes again; a probe for each rejection would loop forever
     }
     advanceCommit(state, now, effects);
@@ -149,15 +150,15 @@
         return;
     }
     promoteCaughtUpLearner(state, now, effects);
-    continueHandOver(state, from, effects);
+    continueLeadershipTransfer(state, from, effects);
     if (progress.nextIndex <= lastIndex(state)) {
         sendAppend(state, from, progress, now, effects);
     }
 }
 
-void takeSnapshotReply(replicated_log_state &state, const std::string &from,
-                       const messages::snapshot_reply &reply, time_point now,
-                       replication_effects *effects)
+void handleSnapshotReply(replicated_log_state &state, const std::string &from,
+                         const messages::snapshot_reply &reply, time_point now,
+                         replication_effects *effects)
 {
     const auto found = state.followerProgress.find(from);
     if (state.role != replica_role::Leader || reply.term() != state.term
@@ -166,7 +167,7 @@
     }
     auto &progress = found->second;
     progress.ackedRound = std::max(progress.ackedRound, reply.round());
-    takeQuorumRound(state);
+    extendLease(state);
     if (!progress.isReceivingSnapshot || reply.index() != state.snapshot.index()) {
         return;
     }
@@ -189,7 +190,7 @@
         becomeFollower(state, term, from, now, effects);
     }
     state.lastLeaderContactAt = now;
-    resetElection(state, now);
+    resetElectionTimer(state, now);
     return true;
 }
 
@@ -208,9 +209,9 @@
                       "members have the same applied state at the same index");
 }
 
-void takeAppend(replicated_log_state &state, const std::string &from,
-                const messages::append_request &request, time_point now,
-                replication_effects *effects)
+void handleAppend(replicated_log_state &state, const std::string &from,
+                  const messages::append_request &request, time_point now,
+                  replication_effects *effects)
 {
     messages::replication_message answer;
     auto *reply = answer.mutable_append_reply();
@@ -224,9 +225,9 @@
     }
     reply->set_term(state.term);
     compareDigest(state, request);
-    const auto held = termAt(state, request.previous_index());
-    const bool isBehindSnapshot = request.previous_index() < state.snapshot.index();
-    if (!isBehindSnapshot && held != request.previous_term()) {
+    const auto previousTerm = termAt(state, request.previous_index());
+    const bool isCoveredBySnapshot = request.previous_index() < state.snapshot.index();
+    if (!isCoveredBySnapshot && previousTerm != request.previous_term()) {
         reply->set_match(conflictHint(state, request.previous_index()));
         effects->messagesAfterSync.push_back(answer);
         return;
@@ -234,19 +235,19 @@
     for (const auto &entry : request.entries()) {
         appendFromLeader(state, entry, effects);
     }
-    const auto known =
+    const auto lastNewIndex =
         request.previous_index() + static_cast<std::uint64_t>(request.entries_size());
-    if (std::min(request.commit(), known) > state.commitIndex) {
-        commitTo(state, std::min(request.commit(), known), effects);
+    if (std::min(request.commit(), lastNewIndex) > state.commitIndex) {
+        commitTo(state, std::min(request.commit(), lastNewIndex), effects);
     }
     reply->set_accepted(true);
-    reply->set_match(std::max(known, state.snapshot.index()));
+    reply->set_match(std::max(lastNewIndex, state.snapshot.index()));
     effects->messagesAfterSync.push_back(answer);
 }
 
-void takeSnapshotChunk(replicated_log_state &state, const std::string &from,
-                       const messages::snapshot_chunk &chunk, time_point now,
-                       replication_effects *effects)
+void handleSnapshotChunk(replicated_log_state &state, const std::string &from,
+                         const messages::snapshot_chunk &chunk, time_point now,
+                         replication_effects *effects)
 {
     messages::replication_message answer;
     answer.set_to(from);
@@ -273,7 +274,7 @@
     if (chunk.offset() == state.incomingSnapshot.size()) {
         state.incomingSnapshot += chunk.data();
         if (chunk.last()) {
-            installIncoming(state, effects);
+            installIncomingSnapshot(state, effects);
             auto *reply = answer.mutable_append_reply();
             reply->set_term(state.term);
             reply->set_accepted(true);
@@ -337,10 +338,10 @@
     state.appliedIndex = stored.snapshot.index();
     state.entries.assign(stored.entries.begin(), stored.entries.end());
     state.durableIndex = lastIndex(state);
-    restoreMembers(state);
+    restoreMembership(state);
     // A restarted member does not know when it last heard a leader, whose lease may still hold.
     state.lastLeaderContactAt = now;
-    resetElection(state, now);
+    resetElectionTimer(state, now);
     return state;
 }
 
@@ -349,17 +350,17 @@
 // Twice the maximum time between two calls of tickLog() that its documentation requires.
 constexpr milliseconds stallTimeout {40};
 // A busy member needs one or two iterations of its event loop to read the queued messages.
-constexpr milliseconds catchUpSpan {50};
+constexpr milliseconds catchUpPeriod {50};
 
 /** Notices that this member stalled, and then delays its next election until it has read the
     messages that arrived meanwhile: they may come from a leader. At most one stall counts in an
     election timeout, so that a member that is always slow can start elections too. */
-void noteStall(replicated_log_state &state, time_point now)
+void detectStall(replicated_log_state &state, time_point now)
 {
     const bool hasStalled = state.lastTickAt.ms > 0 && now - state.lastTickAt > stallTimeout;
     state.lastTickAt = now;
     if (hasStalled && now - state.catchUpUntil > state.settings.electionTimeout) {
-        state.catchUpUntil = now + catchUpSpan;
+        state.catchUpUntil = now + catchUpPeriod;
     }
 }
 
@@ -367,7 +368,7 @@
 
 void tickLog(replicated_log_state &state, time_point now, replication_effects *effects)
 {
-    noteStall(state, now);
+    detectStall(state, now);
     if (state.role == replica_role::Leader) {
         if (now - state.lastQuorumContactAt >= state.settings.electionTimeout
             && !isSoleVoter(state)) {
@@ -401,28 +402,28 @@
         return;
     }
     const auto &from = message.from();
-    if (termOf(message) > state.term && !isVoteToIgnore(state, message, now)) {
+    if (termOf(message) > state.term && !isVoteRequestToIgnore(state, message, now)) {
         becomeFollower(state, termOf(message), {}, now, effects);
     }
     using body = messages::replication_message::BodyCase;
     switch (message.body_case()) {
     case body::kVote:
-        takeVoteRequest(state, from, message.vote(), now, effects);
+        handleVoteRequest(state, from, message.vote(), now, effects);
         break;
     case body::kVoteReply:
-        takeVoteReply(state, from, message.vote_reply(), now, effects);
+        handleVoteReply(state, from, message.vote_reply(), now, effects);
         break;
     case body::kAppend:
-        takeAppend(state, from, message.append(), now, effects);
+        handleAppend(state, from, message.append(), now, effects);
         break;
     case body::kAppendReply:
-        takeAppendReply(state, from, message.append_reply(), now, effects);
+        handleAppendReply(state, from, message.append_reply(), now, effects);
         break;
     case body::kSnapshot:
-        takeSnapshotChunk(state, from, message.snapshot(), now, effects);
+        handleSnapshotChunk(state, from, message.snapshot(), now, effects);
         break;
     case body::kSnapshotReply:
-        takeSnapshotReply(state, from, message.snapshot_reply(), now, effects);
+        handleSnapshotReply(state, from, message.snapshot_reply(), now, effects);
         break;
     case body::kHandOver:
         if (message.hand_over().term() == state.term && from == state.leader) {
@@ -454,14 +455,14 @@
         return error_kind::Overloaded;
     }
     for (const auto &payload : payloads) {
-        appendOwn(state, messages::COMMANDS, payload, effects);
+        appendAsLeader(state, messages::COMMANDS, payload, effects);
     }
     replicate(state, now, effects);
     return {};
 }
 
 std::error_code changeMembership(replicated_log_state &state, bool add,
-                                 const messages::member &which, time_point now,
+                                 const messages::member &member, time_point now,
                                  replication_effects *effects)
 {
     if (!isReadyLeader(state)) {
@@ -470,29 +471,29 @@
     if (state.membershipIndex > state.commitIndex) {
         return error_kind::Conflict;
     }
-    const bool isKnown = findMember(state.membership, which.identity()) != nullptr;
+    const bool isKnown = findMember(state.membership, member.identity()) != nullptr;
     if (isKnown == add) {
         return add ? error_kind::Conflict : error_kind::NotFound;
     }
-    auto next = state.membership;
+    auto newMembership = state.membership;
     if (add) {
-        auto *added = next.add_members();
-        *added = which;
+        auto *added = newMembership.add_members();
+        *added = member;
         added->set_learner(true);
     } else {
-        auto *list = next.mutable_members();
-        list->erase(std::remove_if(list->begin(), list->end(),
-                                   [&](const messages::member &each) {
-                                       return each.identity() == which.identity();
-                                   }),
-                    list->end());
-        const bool hasVoter = std::any_of(list->begin(), list->end(),
+        auto *memberList = newMembership.mutable_members();
+        memberList->erase(std::remove_if(memberList->begin(), memberList->end(),
+                                         [&](const messages::member &each) {
+                                             return each.identity() == member.identity();
+                                         }),
+                          memberList->end());
+        const bool hasVoter = std::any_of(memberList->begin(), memberList->end(),
                                           [](const auto &each) { return !each.learner(); });
         if (!hasVoter) {
             return error_kind::Conflict;
         }
     }
-    appendOwn(state, messages::MEMBERSHIP, next.SerializeAsString(), effects);
+    appendAsLeader(state, messages::MEMBERSHIP, newMembership.SerializeAsString(), effects);
     replicate(state, now, effects);
     return {};
 }
@@ -502,7 +503,7 @@
     messages::snapshot_header header;
     header.set_index(index);
     header.set_term(*termAt(state, index));
-    *header.mutable_members() = membersAt(state, index);
+    *header.mutable_members() = membershipAt(state, index);
     return header;
 }
 
@@ -517,7 +518,7 @@
         state.entries.pop_front();
     }
     state.snapshotData = std::make_shared<const std::string>(std::move(data));
-    for (auto &[name, progress] : state.followerProgress) {
+    for (auto &[identity, progress] : state.followerProgress) {
         progress.snapshotOffset = 0;
     }
 }
@@ -530,7 +531,7 @@
 
 bool hasLostEntries(const follower_progress &progress)
 {
-    return progress.rejections >= refusalsOfLostEntries;
+    return progress.rejections >= lostEntriesThreshold;
 }
 
 bool isReadyLeader(const replicated_log_state &state)
--- a/modules/filbert_replication/replicated_log.h
+++ b/modules/filbert_replication/replicated_log.h
@@ -34,13 +34,13 @@
 {
     std::uint64_t matchIndex = 0; // the last entry known to be durable there
     std::uint64_t nextIndex = 1; // the next entry to send
-    std::uint64_t ackedRound = 0;
+    std::uint64_t ackedRound = 0; // the last heartbeat round that it replied to
     bool isProbing = true; // sends one append at a time until the logs match
-    bool isAwaitingReply = false; // for the reply to a probe or a snapshot chunk
-    std::uint64_t snapshotOffset = 0;
+    bool isAwaitingReply = false; // to a probe or a snapshot chunk
+    std::uint64_t snapshotOffset = 0; // of the next snapshot chunk to send
     bool isReceivingSnapshot = false;
     time_point lastSent;
-    int rejections = 0; // consecutive ones of entries that it had acknowledged
+    int rejections = 0; // in a row, of entries that it had acknowledged
     std::uint64_t rejectedRound = 0; // the heartbeat round of the last rejection
 };
 
@@ -70,18 +70,17 @@
     std::uint64_t appliedIndex = 0; // index of the last entry passed to the caller to apply
 
     messages::membership membership; // the newest in the log, in force as soon as it is appended
-    std::uint64_t membershipIndex = 0;
+    std::uint64_t membershipIndex = 0; // index of the entry with this membership
 
     std::map<std::string, bool> votes; // received as a candidate
     std::map<std::string, follower_progress> followerProgress; // as a leader, by identity
     std::uint64_t heartbeatRound = 0; // number of the last heartbeat to all followers
-    std::map<std::uint64_t, time_point>
-        roundSendTimes; // when rounds without a quorum yet were sent
+    std::map<std::uint64_t, time_point> roundSendTimes; // of rounds not yet answered by a quorum
     time_point leaseExpiresAt; // as a leader
-    time_point
-        lastLeaderContactAt; // of a message from a leader; also set at start and on stepping down
-    time_point
-        lastQuorumContactAt; // as a leader: when the last round that a quorum answered was sent
+    // When the last message from a leader came; also set at start and when this leader steps down.
+    time_point lastLeaderContactAt;
+    // As a leader: when the last round that a quorum has answered was sent.
+    time_point lastQuorumContactAt;
     time_point electionDeadline;
     time_point nextHeartbeatAt;
     time_point lastTickAt; // the last call of tickLog()
@@ -102,11 +101,9 @@
     std::vector<messages::replication_message> messagesBeforeSync; // do not depend on the sync
     bool mustPersist = false; // term, vote and entriesToPersist, in one synced write
     std::vector<messages::log_entry> entriesToPersist;
-    std::vector<messages::replication_message>
-        messagesAfterSync; // promise what the sync makes durable
+    std::vector<messages::replication_message> messagesAfterSync; // rely on what is synced
     bool mustInstall = false; // replace the applied state by the snapshot in replicated_log_state
-    bool mustTruncateTail =
-        false; // with mustInstall: stored entries after the snapshot are invalid
+    bool mustTruncateTail = false; // with mustInstall: invalidate stored entries after the snapshot
     std::vector<messages::log_entry> entriesToApply; // newly committed ones, in order
     bool hasRoleChanged = false;
 };
@@ -146,14 +143,14 @@
 /** Adds a member as a learner, or removes a member. A learner is promoted to a voter automatically
     once it has caught up.
 
-    @param add    whether to add the member or to remove it
-    @param which  the member; only its identity is used to remove it
+    @param add     whether to add the member or to remove it
+    @param member  the member; only its identity is used to remove it
     @return NoLeader if this member does not lead yet; Conflict while another change is pending, if
             the member to add exists, or if no voter would be left; NotFound if the member to remove
             does not exist
 */
 std::error_code changeMembership(replicated_log_state &state, bool add,
-                                 const messages::member &which, time_point now,
+                                 const messages::member &member, time_point now,
                                  replication_effects *effects);
 
 /** @return the header of a snapshot at an index, which must be applied and still in the log */
@@ -193,7 +190,7 @@
 std::optional<std::uint64_t> termAt(const replicated_log_state &state, std::uint64_t index);
 
 /** @return the member with an identity, or nullptr */
-const messages::member *findMember(const messages::membership &members,
+const messages::member *findMember(const messages::membership &membership,
                                    const std::string &identity);
 
 /** @return the first entry of a new log: a membership with this member alone. Used once in the
--- a/modules/filbert_replication/replication_sender.cpp
+++ b/modules/filbert_replication/replication_sender.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-constexpr std::size_t keptRounds = 1'000;
+// Maximum number of heartbeat rounds that are kept until a quorum answers.
+constexpr std::size_t maxPendingRounds = 1'000;
 
-messages::replication_message messageTo(const replicated_log_state &state, const std::string &to)
+messages::replication_message makeMessage(const replicated_log_state &state, const std::string &to)
 {
     messages::replication_message message;
     message.set_from(state.self);
@@ -30,7 +31,7 @@
     const auto offset = std::min<std::uint64_t>(progress.snapshotOffset, data.size());
     const auto length =
         std::min<std::uint64_t>(state.settings.snapshotChunkBytes, data.size() - offset);
-    auto message = messageTo(state, to);
+    auto message = makeMessage(state, to);
     auto *chunk = message.mutable_snapshot();
     chunk->set_term(state.term);
     *chunk->mutable_header() = state.snapshot;
@@ -55,7 +56,7 @@
         sendSnapshotChunk(state, to, progress, effects);
         return;
     }
-    auto message = messageTo(state, to);
+    auto message = makeMessage(state, to);
     auto *request = message.mutable_append();
     request->set_term(state.term);
     request->set_previous_index(previous);
@@ -83,9 +84,9 @@
 
 void replicate(replicated_log_state &state, time_point now, replication_effects *effects)
 {
-    for (auto &[name, progress] : state.followerProgress) {
+    for (auto &[identity, progress] : state.followerProgress) {
         if (!progress.isAwaitingReply && progress.nextIndex <= lastIndex(state)) {
-            sendAppend(state, name, progress, now, effects);
+            sendAppend(state, identity, progress, now, effects);
         }
     }
 }
@@ -95,11 +96,11 @@
     state.nextHeartbeatAt = now + state.settings.heartbeatPeriod;
     ++state.heartbeatRound;
     state.roundSendTimes[state.heartbeatRound] = now;
-    while (state.roundSendTimes.size() > keptRounds) {
+    while (state.roundSendTimes.size() > maxPendingRounds) {
         state.roundSendTimes.erase(state.roundSendTimes.begin());
     }
-    for (auto &[name, progress] : state.followerProgress) {
-        sendAppend(state, name, progress, now, effects);
+    for (auto &[identity, progress] : state.followerProgress) {
+        sendAppend(state, identity, progress, now, effects);
     }
 }
 
@@ -109,30 +110,31 @@
     if (state.role != replica_role::Leader) {
         return false;
     }
-    std::uint64_t best = 0;
-    for (const auto &[name, progress] : state.followerProgress) {
-        if (isVoter(state, name) && progress.matchIndex >= best && progress.matchIndex > 0) {
-            best = progress.matchIndex;
-            state.transferee = name;
+    std::uint64_t highestMatch = 0;
+    for (const auto &[identity, progress] : state.followerProgress) {
+        if (isVoter(state, identity) && progress.matchIndex >= highestMatch
+            && progress.matchIndex > 0) {
+            highestMatch = progress.matchIndex;
+            state.transferee = identity;
         }
     }
-    if (best == 0) {
+    if (highestMatch == 0) {
         return false;
     }
     state.transferDeadline = now + state.settings.electionTimeout;
-    continueHandOver(state, state.transferee, effects);
+    continueLeadershipTransfer(state, state.transferee, effects);
     return true;
 }
 
-void continueHandOver(replicated_log_state &state, const std::string &from,
-                      replication_effects *effects)
+void continueLeadershipTransfer(replicated_log_state &state, const std::string &from,
+                                replication_effects *effects)
 {
     const auto found = state.followerProgress.find(from);
     if (!state.transferDeadline || from != state.transferee || found == state.followerProgress.end()
         || found->second.matchIndex != lastIndex(state)) {
         return;
     }
-    auto message = messageTo(state, from);
+    auto message = makeMessage(state, from);
     message.mutable_hand_over()->set_term(state.term);
     effects->messagesAfterSync.push_back(message);
 }
--- a/modules/filbert_replication/replication_sender.h
+++ b/modules/filbert_replication/replication_sender.h
@@ -18,7 +18,7 @@
 
     @param from  the member that has just acknowledged entries
 */
-void continueHandOver(replicated_log_state &state, const std::string &from,
-                      replication_effects *effects);
+void continueLeadershipTransfer(replicated_log_state &state, const std::string &from,
+                                replication_effects *effects);
 
 } // namespace filbert
--- a/modules/filbert_replication/tests/formation_test.cpp
+++ b/modules/filbert_replication/tests/membership_policy_test.cpp
@@ -17,14 +17,14 @@
     return member;
 }
 
-struct formation_fixture
+struct membership_fixture
 {
     messages::membership members;
     membership_view view;
     membership_settings settings;
     time_point now {50'000};
 
-    formation_fixture()
+    membership_fixture()
     {
         for (const auto *name : {"a", "b", "c"}) {
             *members.add_members() = memberOf(name, std::string {"tcp://host-"} + name);
@@ -35,7 +35,10 @@
         view.leadingSince = now - milliseconds {10'000};
     }
 
-    std::optional<membership_change> next() { return nextMembershipChange(view, settings, now); }
+    std::optional<membership_change> nextChange()
+    {
+        return nextMembershipChange(view, settings, now);
+    }
 };
 
 } // namespace
@@ -43,54 +46,54 @@
 TEST_CASE("exactly one process bootstraps the log", "[formation]")
 {
     const std::vector<std::string> seeds {"10.2.0.1:80", "10.1.0.9:80", "10.3.0.4:80"};
-    int founders = 0;
+    int bootstrapMembers = 0;
     for (const auto &own : {"10.1.0.9:80", "10.2.0.1:80", "10.3.0.4:80", "10.4.0.1:80"}) {
-        founders += isBootstrapMember(seeds, own) ? 1 : 0;
+        bootstrapMembers += isBootstrapMember(seeds, own) ? 1 : 0;
     }
-    CHECK(founders == 1);
+    CHECK(bootstrapMembers == 1);
     CHECK_FALSE(isBootstrapMember({}, "10.1.0.9:80"));
 }
 
 TEST_CASE("a process that requests to join is added, unless its request is stale", "[formation]")
 {
-    formation_fixture cell;
-    CHECK_FALSE(cell.next());
-    cell.view.pendingJoins.push_back({memberOf("d", "tcp://host-d"), cell.now});
-    const auto step = cell.next();
-    REQUIRE(step);
-    CHECK(step->add);
-    CHECK(step->member.identity() == "d");
-    cell.now = cell.now + milliseconds {1'100};
-    for (auto &[name, heard] : cell.view.lastContactAt) {
-        heard = cell.now;
+    membership_fixture fixture;
+    CHECK_FALSE(fixture.nextChange());
+    fixture.view.pendingJoins.push_back({memberOf("d", "tcp://host-d"), fixture.now});
+    const auto change = fixture.nextChange();
+    REQUIRE(change);
+    CHECK(change->add);
+    CHECK(change->member.identity() == "d");
+    fixture.now = fixture.now + milliseconds {1'100};
+    for (auto &[name, contactTime] : fixture.view.lastContactAt) {
+        contactTime = fixture.now;
     }
-    CHECK_FALSE(cell.next());
+    CHECK_FALSE(fixture.nextChange());
 }
 
 TEST_CASE("a silent member is removed only once there are enough other voters", "[formation]")
 {
-    formation_fixture cell;
-    cell.view.lastContactAt["c"] = cell.now - milliseconds {5'000};
-    CHECK_FALSE(cell.next());
-    *cell.members.add_members() = memberOf("d", "tcp://host-d", true);
-    cell.view.lastContactAt["d"] = cell.now;
-    CHECK_FALSE(cell.next()); // the learner is no voter yet
-    cell.members.mutable_members(3)->set_learner(false);
-    const auto step = cell.next();
-    REQUIRE(step);
-    CHECK_FALSE(step->add);
-    CHECK(step->member.identity() == "c");
+    membership_fixture fixture;
+    fixture.view.lastContactAt["c"] = fixture.now - milliseconds {5'000};
+    CHECK_FALSE(fixture.nextChange());
+    *fixture.members.add_members() = memberOf("d", "tcp://host-d", true);
+    fixture.view.lastContactAt["d"] = fixture.now;
+    CHECK_FALSE(fixture.nextChange()); // the learner is no voter yet
+    fixture.members.mutable_members(3)->set_learner(false);
+    const auto change = fixture.nextChange();
+    REQUIRE(change);
+    CHECK_FALSE(change->add);
+    CHECK(change->member.identity() == "c");
 }
 
 TEST_CASE("a member whose address another process has taken over is removed at once", "[formation]")
 {
-    formation_fixture cell;
-    cell.view.lastContactAt["b"] = cell.now - milliseconds {300};
-    *cell.members.add_members() = memberOf("b2", "tcp://host-b");
-    cell.view.lastContactAt["b2"] = cell.now;
-    const auto step = cell.next();
-    REQUIRE(step);
-    CHECK(step->member.identity() == "b");
+    membership_fixture fixture;
+    fixture.view.lastContactAt["b"] = fixture.now - milliseconds {300};
+    *fixture.members.add_members() = memberOf("b2", "tcp://host-b");
+    fixture.view.lastContactAt["b2"] = fixture.now;
+    const auto change = fixture.nextChange();
+    REQUIRE(change);
+    CHECK(change->member.identity() == "b");
 }
 
 TEST_CASE("a restarted member applies its log in batches, to answer others in between",
@@ -114,13 +117,13 @@
     }
     REQUIRE(!store.append(1, "", stored.entries));
     std::vector<std::uint64_t> applied;
-    std::vector<std::uint64_t> written; // the last applied entry at each snapshot
+    std::vector<std::uint64_t> snapshotIndexes; // the last applied entry at each snapshot
     log_member_hooks hooks;
     hooks.send = [](const messages::member &, const messages::replication_message &) {};
     hooks.apply = [&](const messages::log_entry &entry) { applied.push_back(entry.index()); };
     hooks.restore = [](const std::string &) {};
     hooks.makeSnapshot = [&] {
-        written.push_back(applied.back());
+        snapshotIndexes.push_back(applied.back());
         return std::string {};
     };
     const time_point start {1'000};
@@ -132,15 +135,15 @@
     REQUIRE(!member.flush(later));
     CHECK(applied.size() == maxEntriesPerFlush);
     CHECK_FALSE(member.hasAppliedAll());
-    CHECK(written.empty()); // a snapshot would include entries that are not applied yet
+    CHECK(snapshotIndexes.empty()); // a snapshot would include entries that are not applied yet
     for (int i = 0; i < 4; ++i) {
         REQUIRE(!member.flush(later));
     }
     CHECK(member.hasAppliedAll());
     REQUIRE(applied.size() >= entries);
     CHECK(std::is_sorted(applied.begin(), applied.end()));
-    REQUIRE(written.size() == 1);
-    CHECK(written[0] == applied.back());
+    REQUIRE(snapshotIndexes.size() == 1);
+    CHECK(snapshotIndexes[0] == applied.back());
 }
 
 TEST_CASE("a leader that has not applied its last entry does not report a fully applied log",
--- a/modules/filbert_replication/tests/replicated_log_test.cpp
+++ b/modules/filbert_replication/tests/replicated_log_test.cpp
@@ -46,8 +46,8 @@
         && effects.messagesAfterSync.back().vote_reply().granted();
 }
 
-messages::replication_message granted(const std::string &from, const std::string &to,
-                                      std::uint64_t term, bool isPreVote)
+messages::replication_message grantedVote(const std::string &from, const std::string &to,
+                                          std::uint64_t term, bool isPreVote)
 {
     messages::replication_message message;
     message.set_from(from);
@@ -64,14 +64,14 @@
     auto state = memberOf("a");
     replication_effects effects;
     tickLog(state, now, &effects);
-    handleReplicationMessage(state, granted("b", "a", 2, true), now, &effects);
-    handleReplicationMessage(state, granted("b", "a", 2, false), now, &effects);
+    handleReplicationMessage(state, grantedVote("b", "a", 2, true), now, &effects);
+    handleReplicationMessage(state, grantedVote("b", "a", 2, false), now, &effects);
     REQUIRE(state.role == replica_role::Leader);
     return state;
 }
 
-messages::replication_message accepted(const replicated_log_state &leader, const std::string &from,
-                                       std::uint64_t match)
+messages::replication_message acceptedReply(const replicated_log_state &leader,
+                                            const std::string &from, std::uint64_t match)
 {
     messages::replication_message message;
     message.set_from(from);
@@ -114,12 +114,14 @@
     append.mutable_append()->set_previous_term(1);
     replication_effects effects;
     handleReplicationMessage(state, append, later, &effects);
-    replication_effects asked;
-    handleReplicationMessage(state, voteRequest("c", "b", 3), later + milliseconds {499}, &asked);
-    CHECK_FALSE(isGranted(asked));
+    replication_effects voteEffects;
+    handleReplicationMessage(state, voteRequest("c", "b", 3), later + milliseconds {499},
+                             &voteEffects);
+    CHECK_FALSE(isGranted(voteEffects));
     CHECK(state.term == 2);
-    handleReplicationMessage(state, voteRequest("c", "b", 3), later + milliseconds {500}, &asked);
-    CHECK(isGranted(asked));
+    handleReplicationMessage(state, voteRequest("c", "b", 3), later + milliseconds {500},
+                             &voteEffects);
+    CHECK(isGranted(voteEffects));
 }
 
 TEST_CASE(
@@ -127,7 +129,7 @@
 {
     auto state = leaderAt(later);
     replication_effects effects;
-    handleReplicationMessage(state, accepted(state, "b", 2), later, &effects);
+    handleReplicationMessage(state, acceptedReply(state, "b", 2), later, &effects);
     CHECK(hasLease(state, later + milliseconds {470}));
     CHECK_FALSE(hasLease(state, later + milliseconds {476}));
     tickLog(state, later + milliseconds {500}, &effects);
@@ -139,23 +141,23 @@
     auto state = leaderAt(later);
     replication_effects effects;
     handlePersisted(state, lastIndex(state), later, &effects);
-    handleReplicationMessage(state, accepted(state, "b", 2), later, &effects);
+    handleReplicationMessage(state, acceptedReply(state, "b", 2), later, &effects);
     messages::member added;
     added.set_identity("d");
     REQUIRE_FALSE(changeMembership(state, true, added, later, &effects));
     CHECK(changeMembership(state, true, added, later, &effects) == error_kind::Conflict);
     handlePersisted(state, lastIndex(state), later, &effects);
     const auto before = state.commitIndex;
-    handleReplicationMessage(state, accepted(state, "d", lastIndex(state)), later, &effects);
+    handleReplicationMessage(state, acceptedReply(state, "d", lastIndex(state)), later, &effects);
     CHECK(state.commitIndex == before);
-    handleReplicationMessage(state, accepted(state, "c", lastIndex(state)), later, &effects);
+    handleReplicationMessage(state, acceptedReply(state, "c", lastIndex(state)), later, &effects);
     CHECK(state.commitIndex > before);
 
     auto learner = memberOf("d");
-    replication_effects own;
-    tickLog(learner, later, &own);
-    CHECK(own.messagesAfterSync
-              .empty()); // it is not in its own membership, so it never starts an election
+    replication_effects learnerEffects;
+    tickLog(learner, later, &learnerEffects);
+    // The learner is not in its own membership, so it never starts an election.
+    CHECK(learnerEffects.messagesAfterSync.empty());
 }
 
 TEST_CASE("an entry of an earlier term is committed only with one of the leader's own term")
@@ -165,20 +167,20 @@
     stored.term = 3;
     auto first = makeBootstrapEntry({});
     first.set_payload(threeMembers().SerializeAsString());
-    messages::log_entry old;
-    old.set_index(2);
-    old.set_term(2);
-    stored.entries = {first, old};
+    messages::log_entry earlierTermEntry;
+    earlierTermEntry.set_index(2);
+    earlierTermEntry.set_term(2);
+    stored.entries = {first, earlierTermEntry};
     auto state = makeReplicatedLog(stored, {}, 7, {0});
     replication_effects effects;
     tickLog(state, later, &effects);
-    handleReplicationMessage(state, granted("b", "a", 4, true), later, &effects);
-    handleReplicationMessage(state, granted("b", "a", 4, false), later, &effects);
+    handleReplicationMessage(state, grantedVote("b", "a", 4, true), later, &effects);
+    handleReplicationMessage(state, grantedVote("b", "a", 4, false), later, &effects);
     REQUIRE(state.role == replica_role::Leader);
     handlePersisted(state, lastIndex(state), later, &effects);
-    handleReplicationMessage(state, accepted(state, "b", 2), later, &effects);
+    handleReplicationMessage(state, acceptedReply(state, "b", 2), later, &effects);
     CHECK(state.commitIndex == 0); // a later leader could still replace entry 2
-    handleReplicationMessage(state, accepted(state, "b", 3), later, &effects);
+    handleReplicationMessage(state, acceptedReply(state, "b", 3), later, &effects);
     CHECK(state.commitIndex == 3);
 }
 
@@ -187,7 +189,7 @@
     auto state = leaderAt(later);
     replication_effects effects;
     handlePersisted(state, lastIndex(state), later, &effects);
-    handleReplicationMessage(state, accepted(state, "b", 2), later, &effects);
+    handleReplicationMessage(state, acceptedReply(state, "b", 2), later, &effects);
     REQUIRE(hasLease(state, later));
     REQUIRE(startLeadershipTransfer(state, later, &effects));
     CHECK_FALSE(hasLease(state, later));
@@ -251,17 +253,17 @@
     replication_effects effects;
     REQUIRE_FALSE(propose(leader, {"one", "two"}, {2'000}, &effects));
     handlePersisted(leader, lastIndex(leader), {2'000}, &effects);
-    handleReplicationMessage(leader, accepted(leader, "b", lastIndex(leader) - 1), {2'001},
+    handleReplicationMessage(leader, acceptedReply(leader, "b", lastIndex(leader) - 1), {2'001},
                              &effects);
-    auto refused = accepted(leader, "b", 1);
-    refused.mutable_append_reply()->set_accepted(false);
+    auto rejection = acceptedReply(leader, "b", 1);
+    rejection.mutable_append_reply()->set_accepted(false);
     effects = {};
-    std::size_t sent = 0;
+    std::size_t probes = 0;
     for (int i = 0; i < 50; ++i) { // a probe for each rejection would cause the next rejection
-        handleReplicationMessage(leader, refused, {2'002}, &effects);
-        sent += std::exchange(effects.messagesBeforeSync, {}).size();
+        handleReplicationMessage(leader, rejection, {2'002}, &effects);
+        probes += std::exchange(effects.messagesBeforeSync, {}).size();
     }
-    CHECK(sent <= 1);
+    CHECK(probes <= 1);
     tickLog(leader, {2'200}, &effects);
     CHECK_FALSE(effects.messagesBeforeSync.empty());
 }
@@ -270,25 +272,26 @@
 {
     auto state = leaderAt(later);
     replication_effects effects;
-    const auto agree = [&](const std::string &member) {
-        handleReplicationMessage(state, accepted(state, member, lastIndex(state)), later, &effects);
+    const auto acknowledge = [&](const std::string &member) {
+        handleReplicationMessage(state, acceptedReply(state, member, lastIndex(state)), later,
+                                 &effects);
     };
     handlePersisted(state, lastIndex(state), later, &effects);
-    agree("b");
+    acknowledge("b");
     for (const char *name : {"d", "e"}) {
         messages::member added;
         added.set_identity(name);
         REQUIRE_FALSE(changeMembership(state, true, added, later, &effects));
         handlePersisted(state, lastIndex(state), later, &effects);
         if (name == std::string_view {"d"}) {
-            agree("b");
+            acknowledge("b");
         }
     }
     const auto before = state.commitIndex;
-    agree("d");
-    agree("e");
+    acknowledge("d");
+    acknowledge("e");
     CHECK(state.commitIndex == before);
-    agree("c");
+    acknowledge("c");
     CHECK(state.commitIndex > before);
 }
 
@@ -297,14 +300,14 @@
     auto state = leaderAt(later);
     replication_effects effects;
     handlePersisted(state, lastIndex(state), later, &effects);
-    handleReplicationMessage(state, accepted(state, "b", lastIndex(state)), later, &effects);
-    messages::member gone;
-    gone.set_identity("c");
-    REQUIRE_FALSE(changeMembership(state, false, gone, later, &effects));
+    handleReplicationMessage(state, acceptedReply(state, "b", lastIndex(state)), later, &effects);
+    messages::member removed;
+    removed.set_identity("c");
+    REQUIRE_FALSE(changeMembership(state, false, removed, later, &effects));
     const auto before = state.commitIndex;
     handlePersisted(state, lastIndex(state), later, &effects);
     CHECK(state.commitIndex == before);
-    handleReplicationMessage(state, accepted(state, "b", lastIndex(state)), later, &effects);
+    handleReplicationMessage(state, acceptedReply(state, "b", lastIndex(state)), later, &effects);
     CHECK(state.commitIndex == lastIndex(state));
 }
 
@@ -334,12 +337,12 @@
 {
     auto state = memberOf("a");
     replication_effects effects;
-    const milliseconds slowStep {60};
-    time_point now {slowStep.count};
+    const milliseconds slowTick {60};
+    time_point now {slowTick.count};
     const auto until = now + state.settings.electionTimeout + state.settings.electionTimeout;
     while (now < until && state.role == replica_role::Follower) {
         tickLog(state, now, &effects);
-        now = now + slowStep;
+        now = now + slowTick;
     }
     CHECK(state.role == replica_role::PreCandidate);
 }
