--- a/modules/filbert_storage/file_system.cpp
+++ b/modules/filbert_storage/file_system.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::error_code lastError()
+std::error_code errorFromErrno()
 {
     return errno == ENOSPC || errno == EDQUOT ? error_kind::DiskFull : error_kind::StorageFailed;
 }
@@ -36,22 +36,22 @@
     open_file(const open_file &) = delete;
     open_file &operator=(const open_file &) = delete;
 
-    int number() const { return descriptor; }
+    int fd() const { return descriptor; }
 
 private:
     int descriptor;
 };
 
-class real_file_system : public file_system
+class disk_file_system : public file_system
 {
 public:
-    real_file_system(const std::string &folder, std::error_code *error)
+    disk_file_system(const std::string &folder, std::error_code *error)
         : folder {folder + "/"}
         , lock {this->folder + "lock", O_RDWR | O_CREAT}
     {
-        if (lock.number() < 0) {
+        if (lock.fd() < 0) {
             *error = error_kind::StorageFailed;
-        } else if (flock(lock.number(), LOCK_EX | LOCK_NB) != 0) {
+        } else if (flock(lock.fd(), LOCK_EX | LOCK_NB) != 0) {
             *error = error_kind::FolderInUse;
         }
     }
@@ -77,14 +77,14 @@
 
     std::error_code append(const std::string &name, std::string_view data) override
     {
-        const auto &file = appendFile(name);
+        const auto &file = fileForAppend(name);
         while (!data.empty()) {
-            const auto written = ::write(file.number(), data.data(), data.size());
+            const auto written = ::write(file.fd(), data.data(), data.size());
             if (written < 0 && errno == EINTR) {
                 continue;
             }
             if (written < 0) {
-                return lastError();
+                return errorFromErrno();
             }
             data.remove_prefix(static_cast<std::size_t>(written));
         }
@@ -95,35 +95,36 @@
     {
         return ::truncate((folder + name).c_str(), static_cast<off_t>(size)) == 0
             ? std::error_code {}
-            : lastError();
+            : errorFromErrno();
     }
 
     std::error_code syncFile(const std::string &name) override
     {
-        return ::fdatasync(appendFile(name).number()) == 0 ? std::error_code {} : lastError();
+        return ::fdatasync(fileForAppend(name).fd()) == 0 ? std::error_code {} : errorFromErrno();
     }
 
     std::error_code rename(const std::string &from, const std::string &to) override
     {
         appendFiles.erase(from);
         return ::rename((folder + from).c_str(), (folder + to).c_str()) == 0 ? std::error_code {}
-                                                                             : lastError();
+                                                                             : errorFromErrno();
     }
 
     std::error_code remove(const std::string &name) override
     {
         appendFiles.erase(name);
-        return ::unlink((folder + name).c_str()) == 0 ? std::error_code {} : lastError();
+        return ::unlink((folder + name).c_str()) == 0 ? std::error_code {} : errorFromErrno();
     }
 
     std::error_code syncFolder() override
     {
-        const open_file self {folder, O_RDONLY | O_DIRECTORY};
-        return self.number() >= 0 && ::fsync(self.number()) == 0 ? std::error_code {} : lastError();
+        const open_file directory {folder, O_RDONLY | O_DIRECTORY};
+        return directory.fd() >= 0 && ::fsync(directory.fd()) == 0 ? std::error_code {}
+                                                                   : errorFromErrno();
     }
 
 private:
-    const open_file &appendFile(const std::string &name)
+    const open_file &fileForAppend(const std::string &name)
     {
         auto &file = appendFiles[name];
         if (!file) {
@@ -141,13 +142,13 @@
 
 std::unique_ptr<file_system> openDataFolder(const std::string &folder, std::error_code *error)
 {
-    std::error_code created;
-    std::filesystem::create_directories(folder, created);
-    if (created) {
+    std::error_code createError;
+    std::filesystem::create_directories(folder, createError);
+    if (createError) {
         *error = error_kind::StorageFailed;
         return nullptr;
     }
-    auto files = std::make_unique<real_file_system>(folder, error);
+    auto files = std::make_unique<disk_file_system>(folder, error);
     return *error ? nullptr : std::move(files);
 }
 
--- a/modules/filbert_storage/file_system.h
+++ b/modules/filbert_storage/file_system.h
@@ -21,7 +21,10 @@
     virtual ~file_system() = default;
 
     virtual std::vector<std::string> list() = 0;
+    /** Reads a whole file. @return NotFound if it does not exist, or StorageFailed */
     virtual std::error_code read(const std::string &name, std::string *content) = 0;
+    /** Appends to a file, which is created if it does not exist.
+        @return DiskFull or StorageFailed; part of the data may have been written then */
     virtual std::error_code append(const std::string &name, std::string_view data) = 0;
     virtual std::error_code truncate(const std::string &name, std::uint64_t size) = 0;
     virtual std::error_code syncFile(const std::string &name) = 0;
--- a/modules/filbert_storage/log_store.cpp
+++ b/modules/filbert_storage/log_store.cpp
@@ -15,18 +15,18 @@
 constexpr std::string_view identityFile = "identity";
 constexpr std::string_view segmentPrefix = "log-";
 constexpr std::string_view snapshotPrefix = "snapshot-";
-constexpr std::string_view temporaryFile = "snapshot.tmp";
+constexpr std::string_view temporarySnapshotFile = "snapshot.tmp";
 constexpr std::uint32_t frameMagic = 0x66'62'6c'31; // "fbl1"
-constexpr std::uint64_t segmentBytes = 16 << 20;
+constexpr std::uint64_t segmentBytes = 16 << 20; // from this size on a new segment is started
 constexpr std::uint32_t maxFrameBytes = 1 << 30;
 
 // The numbers of the frames in a snapshot file: a header, then the chunks of the state, then an end
 // mark. Early files of format 1 have a single frame with the whole state instead of chunks and end.
 constexpr std::uint64_t snapshotHeaderFrame = 1;
 constexpr std::uint64_t wholeStateFrame = 2;
-constexpr std::uint64_t firstPartFrame = 1ULL << 32;
+constexpr std::uint64_t firstChunkFrame = 1ULL << 32;
 constexpr std::uint64_t snapshotEndFrame = 1ULL << 33;
-constexpr std::size_t snapshotPartBytes = 1 << 20; // per chunk of saveSnapshot()
+constexpr std::size_t snapshotChunkBytes = 1 << 20; // per chunk of saveSnapshot()
 
 /** Precedes the payload of each frame, in the host's byte order; all supported hosts are little
     endian. */
@@ -69,12 +69,12 @@
 bool hasFrameAfter(std::string_view content, std::size_t offset)
 {
     std::uint32_t magic = frameMagic;
-    const std::string_view mark {reinterpret_cast<const char *>(&magic), sizeof magic};
+    const std::string_view magicBytes {reinterpret_cast<const char *>(&magic), sizeof magic};
     frame_header header;
     std::string_view payload;
-    for (auto at = content.find(mark, offset + 1); at != std::string_view::npos;
-         at = content.find(mark, at + 1)) {
-        if (readFrame(content, at, &header, &payload)) {
+    for (auto position = content.find(magicBytes, offset + 1); position != std::string_view::npos;
+         position = content.find(magicBytes, position + 1)) {
+        if (readFrame(content, position, &header, &payload)) {
             return true;
         }
     }
@@ -88,7 +88,7 @@
     return std::string {prefix} + std::string(width - digits.size(), '0') + digits;
 }
 
-bool readNumber(const std::string &name, std::string_view prefix, std::uint64_t *number)
+bool parseNumber(const std::string &name, std::string_view prefix, std::uint64_t *number)
 {
     if (!name.starts_with(prefix)) {
         return false;
@@ -98,14 +98,14 @@
     return parsed.ec == std::errc {} && parsed.ptr == end;
 }
 
-std::error_code damaged(storage_damage *damage, const std::string &file, std::uint64_t offset,
-                        std::string what)
+std::error_code reportDamage(storage_damage *damage, const std::string &file, std::uint64_t offset,
+                             std::string description)
 {
-    *damage = {file, offset, std::move(what)};
+    *damage = {file, offset, std::move(description)};
     return error_kind::StorageDamaged;
 }
 
-void takeEntry(stored_state *state, const messages::log_entry &entry)
+void addEntry(stored_state *state, const messages::log_entry &entry)
 {
     auto &entries = state->entries;
     while (!entries.empty() && entries.back().index() >= entry.index()) {
@@ -147,7 +147,8 @@
         return error_kind::NotFound;
     }
     if (!content.starts_with(formatLine) || !content.ends_with('\n')) {
-        return damaged(damage, std::string {identityFile}, 0, "unknown format of the data folder");
+        return reportDamage(damage, std::string {identityFile}, 0,
+                            "unknown format of the data folder");
     }
     state->identity = content.substr(formatLine.size());
     state->identity.pop_back();
@@ -156,7 +157,7 @@
     }
     for (const auto &name : files.list()) {
         std::uint64_t number = 0;
-        if (readNumber(name, segmentPrefix, &number)) {
+        if (parseNumber(name, segmentPrefix, &number)) {
             segments.push_back({name, number, 0, 0});
         }
     }
@@ -169,45 +170,46 @@
     }
     const auto &entries = state->entries;
     if (!entries.empty() && entries.front().index() != state->snapshot.index() + 1) {
-        return damaged(damage, segments.front().name, 0,
-                       "log entries after the snapshot are missing");
+        return reportDamage(damage, segments.front().name, 0,
+                            "log entries after the snapshot are missing");
     }
     term = state->term;
     votedFor = state->votedFor;
     return {};
 }
 
-std::error_code log_store::readSegment(segment &which, bool isLast, stored_state *state,
+std::error_code log_store::readSegment(segment &source, bool isLast, stored_state *state,
                                        storage_damage *damage)
 {
     std::string content;
-    if (const auto error = files.read(which.name, &content)) {
+    if (const auto error = files.read(source.name, &content)) {
         return error;
     }
     std::size_t offset = 0;
     while (offset < content.size()) {
         frame_header header;
         std::string_view payload;
-        const bool isRight = readFrame(content, offset, &header, &payload);
-        if (!isRight && (!isLast || hasFrameAfter(content, offset))) {
-            return damaged(damage, which.name, offset, "invalid frame before valid frames");
+        const bool isValid = readFrame(content, offset, &header, &payload);
+        if (!isValid && (!isLast || hasFrameAfter(content, offset))) {
+            return reportDamage(damage, source.name, offset, "bad checksum before good frames");
         }
-        if (!isRight) {
+        if (!isValid) {
             state->truncatedBytes = content.size() - offset;
-            if (const auto error = files.truncate(which.name, offset)) {
+            if (const auto error = files.truncate(source.name, offset)) {
                 return error;
             }
-            if (const auto error = files.syncFile(which.name)) {
+            if (const auto error = files.syncFile(source.name)) {
                 return error;
             }
             break;
         }
         if (nextFrame != 1 && header.number != nextFrame) {
-            return damaged(damage, which.name, offset, "a frame of the log is missing");
+            return reportDamage(damage, source.name, offset, "a frame of the log is missing");
         }
         messages::stored_frame frame;
         if (!frame.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) {
-            return damaged(damage, which.name, offset, "the payload of a frame cannot be parsed");
+            return reportDamage(damage, source.name, offset,
+                                "the payload of a frame cannot be parsed");
         }
         nextFrame = header.number + 1;
         while (frame.drop_after() != 0 && !state->entries.empty()
@@ -217,12 +219,12 @@
         state->term = frame.term();
         state->votedFor = frame.voted_for();
         for (const auto &entry : frame.entries()) {
-            takeEntry(state, entry);
-            which.lastIndex = std::max(which.lastIndex, entry.index());
+            addEntry(state, entry);
+            source.lastIndex = std::max(source.lastIndex, entry.index());
         }
         offset += sizeof header + header.length;
     }
-    which.bytes = offset;
+    source.bytes = offset;
     return {};
 }
 
@@ -231,7 +233,7 @@
     std::uint64_t newest = 0;
     for (const auto &name : files.list()) {
         std::uint64_t number = 0;
-        if (readNumber(name, snapshotPrefix, &number)) {
+        if (parseNumber(name, snapshotPrefix, &number)) {
             newest = std::max(newest, number);
         }
     }
@@ -246,24 +248,24 @@
     frame_header header;
     std::string_view payload;
     if (!readFrame(content, 0, &header, &payload)) {
-        return damaged(damage, name, 0, "invalid frame for the snapshot header");
+        return reportDamage(damage, name, 0, "invalid frame for the snapshot header");
     }
     if (!state->snapshot.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) {
-        return damaged(damage, name, 0, "the snapshot header cannot be parsed");
+        return reportDamage(damage, name, 0, "the snapshot header cannot be parsed");
     }
     std::size_t offset = 0;
-    std::uint64_t parts = 0;
+    std::uint64_t chunks = 0;
     do {
         offset += sizeof header + header.length;
         if (!readFrame(content, offset, &header, &payload)) {
-            return damaged(damage, name, offset, "invalid frame for the snapshot state");
+            return reportDamage(damage, name, offset, "invalid frame for the snapshot state");
         }
-        const bool isPart = header.number == firstPartFrame + parts;
-        if (isPart || header.number == wholeStateFrame) {
+        const bool isChunk = header.number == firstChunkFrame + chunks;
+        if (isChunk || header.number == wholeStateFrame) {
             state->snapshotData.append(payload);
-            ++parts;
+            ++chunks;
         } else if (header.number != snapshotEndFrame) {
-            return damaged(damage, name, offset, "a chunk of the snapshot state is missing");
+            return reportDamage(damage, name, offset, "a chunk of the snapshot state is missing");
         }
     } while (header.number != snapshotEndFrame && header.number != wholeStateFrame);
     return {};
@@ -312,8 +314,8 @@
     const auto frame = makeFrame(nextFrame, message.SerializeAsString());
     if (const auto error = files.append(current.name, frame)) {
         // Removes the incomplete frame, so that no later frame follows it.
-        const bool isUndone = !files.truncate(current.name, current.bytes);
-        return error == error_kind::DiskFull && isUndone ? error : error_kind::StorageFailed;
+        const bool isTruncated = !files.truncate(current.name, current.bytes);
+        return error == error_kind::DiskFull && isTruncated ? error : error_kind::StorageFailed;
     }
     if (files.syncFile(current.name) || (isNew && files.syncFolder())) {
         return error_kind::StorageFailed; // after a failed sync the content of the disk is unknown
@@ -332,8 +334,8 @@
     if (const auto error = startSnapshot(header)) {
         return error;
     }
-    for (std::size_t offset = 0; offset < data.size(); offset += snapshotPartBytes) {
-        if (const auto error = addSnapshotChunk(data.substr(offset, snapshotPartBytes))) {
+    for (std::size_t offset = 0; offset < data.size(); offset += snapshotChunkBytes) {
+        if (const auto error = addSnapshotChunk(data.substr(offset, snapshotChunkBytes))) {
             return error;
         }
     }
@@ -342,15 +344,15 @@
 
 std::error_code log_store::startSnapshot(const messages::snapshot_header &header)
 {
-    files.remove(std::string {temporaryFile});
+    files.remove(std::string {temporarySnapshotFile});
     snapshotIndex = header.index();
-    snapshotParts = 0;
+    snapshotChunks = 0;
     return writeSnapshotFrame(snapshotHeaderFrame, header.SerializeAsString());
 }
 
-std::error_code log_store::addSnapshotChunk(std::string_view part)
+std::error_code log_store::addSnapshotChunk(std::string_view chunk)
 {
-    return writeSnapshotFrame(firstPartFrame + snapshotParts++, part);
+    return writeSnapshotFrame(firstChunkFrame + snapshotChunks++, chunk);
 }
 
 std::error_code log_store::finishSnapshot()
@@ -358,7 +360,8 @@
     if (const auto error = writeSnapshotFrame(snapshotEndFrame, {})) {
         return error;
     }
-    if (files.rename(std::string {temporaryFile}, numberedName(snapshotPrefix, snapshotIndex))
+    if (files.rename(std::string {temporarySnapshotFile},
+                     numberedName(snapshotPrefix, snapshotIndex))
         || files.syncFolder()) {
         return error_kind::StorageFailed;
     }
@@ -367,7 +370,7 @@
 
 std::error_code log_store::writeSnapshotFrame(std::uint64_t number, std::string_view payload)
 {
-    const std::string temporary {temporaryFile};
+    const std::string temporary {temporarySnapshotFile};
     if (const auto error = files.append(temporary, makeFrame(number, payload))) {
         files.remove(temporary);
         return error;
@@ -380,7 +383,7 @@
 {
     for (const auto &name : files.list()) {
         std::uint64_t number = 0;
-        if (readNumber(name, snapshotPrefix, &number) && number < index) {
+        if (parseNumber(name, snapshotPrefix, &number) && number < index) {
             files.remove(name);
         }
     }
--- a/modules/filbert_storage/log_store.h
+++ b/modules/filbert_storage/log_store.h
@@ -94,7 +94,7 @@
     std::error_code startSnapshot(const messages::snapshot_header &header);
 
     /** Writes and syncs the next chunk of the started snapshot. @return as saveSnapshot() */
-    std::error_code addSnapshotChunk(std::string_view part);
+    std::error_code addSnapshotChunk(std::string_view chunk);
 
     /** Completes the started snapshot, so that open() reads it, and removes the segments that it
         covers. @return as saveSnapshot() */
@@ -108,11 +108,11 @@
     {
         std::string name;
         std::uint64_t number = 0;
-        std::uint64_t lastIndex = 0;
+        std::uint64_t lastIndex = 0; // the highest index of its entries
         std::uint64_t bytes = 0;
     };
 
-    std::error_code readSegment(segment &which, bool isLast, stored_state *state,
+    std::error_code readSegment(segment &source, bool isLast, stored_state *state,
                                 storage_damage *damage);
     std::error_code readSnapshot(stored_state *state, storage_damage *damage);
     std::error_code startSegment();
@@ -122,11 +122,11 @@
 
     file_system &files;
     std::vector<segment> segments;
-    std::uint64_t nextFrame = 1;
+    std::uint64_t nextFrame = 1; // number of the next frame of the log
     std::uint64_t term = 0;
     std::string votedFor;
     std::uint64_t snapshotIndex = 0; // of the started snapshot
-    std::uint64_t snapshotParts = 0; // written of the started snapshot
+    std::uint64_t snapshotChunks = 0; // written of the started snapshot
 };
 
 } // namespace filbert
--- a/modules/filbert_storage/tests/fake_file_system.h
+++ b/modules/filbert_storage/tests/fake_file_system.h
@@ -93,9 +93,9 @@
             live = durable;
         }
         for (auto &[name, file] : live) {
-            const auto loose = file->content.size() - file->synced;
-            file->content.resize(file->synced + (loose > 0 ? random() % (loose + 1) : 0));
-            if (loose > 0 && file->content.size() > file->synced && random() % 4 == 0) {
+            const auto unsynced = file->content.size() - file->synced;
+            file->content.resize(file->synced + (unsynced > 0 ? random() % (unsynced + 1) : 0));
+            if (unsynced > 0 && file->content.size() > file->synced && random() % 4 == 0) {
                 file->content.back() ^= 0x55;
             }
             file->synced = file->content.size();
@@ -130,7 +130,7 @@
     struct file
     {
         std::string content;
-        std::size_t synced = 0;
+        std::size_t synced = 0; // durable bytes from the start of the content
     };
 
     file &open(const std::string &name)
@@ -142,8 +142,8 @@
         return *found;
     }
 
-    std::map<std::string, std::shared_ptr<file>> live;
-    std::map<std::string, std::shared_ptr<file>> durable;
+    std::map<std::string, std::shared_ptr<file>> live; // the names that the process sees
+    std::map<std::string, std::shared_ptr<file>> durable; // the names that a crash cannot lose
 };
 
 } // namespace filbert
--- a/modules/filbert_storage/tests/log_store_test.cpp
+++ b/modules/filbert_storage/tests/log_store_test.cpp
@@ -23,8 +23,8 @@
 {
     log_store store {files};
     stored_state state;
-    storage_damage where;
-    const auto result = store.open(&state, damage == nullptr ? &where : damage);
+    storage_damage ignoredDamage;
+    const auto result = store.open(&state, damage == nullptr ? &ignoredDamage : damage);
     if (error != nullptr) {
         *error = result;
     } else {
@@ -33,7 +33,7 @@
     return state;
 }
 
-void fill(fake_file_system &files, std::uint64_t count)
+void writeEntries(fake_file_system &files, std::uint64_t count)
 {
     log_store store {files};
     REQUIRE_FALSE(store.initialise("c1-x"));
@@ -55,7 +55,7 @@
     std::error_code error;
     reopen(files, &error);
     CHECK(error == error_kind::NotFound);
-    fill(files, 0);
+    writeEntries(files, 0);
     CHECK(log_store {files}.initialise("other") == error_kind::Conflict);
 }
 
@@ -63,7 +63,7 @@
     "appended entries are read back, and a later entry replaces earlier ones from its index on")
 {
     fake_file_system files;
-    fill(files, 5);
+    writeEntries(files, 5);
     log_store store {files};
     stored_state state;
     storage_damage damage;
@@ -79,7 +79,7 @@
 TEST_CASE("term and vote are read back, also from frames without entries")
 {
     fake_file_system files;
-    fill(files, 1);
+    writeEntries(files, 1);
     CHECK(reopen(files).votedFor == "me");
     log_store store {files};
     stored_state state;
@@ -92,19 +92,19 @@
 
 TEST_CASE("a torn last frame is cut off at any length")
 {
-    fake_file_system whole;
-    fill(whole, 3);
-    const auto full = whole.contentOf(firstSegment);
-    fake_file_system two;
-    fill(two, 2);
-    const auto keep = two.contentOf(firstSegment).size();
-    for (auto size = keep + 1; size < full.size(); ++size) {
+    fake_file_system complete;
+    writeEntries(complete, 3);
+    const auto completeContent = complete.contentOf(firstSegment);
+    fake_file_system shorter;
+    writeEntries(shorter, 2);
+    const auto keptBytes = shorter.contentOf(firstSegment).size();
+    for (auto size = keptBytes + 1; size < completeContent.size(); ++size) {
         fake_file_system files;
-        fill(files, 3);
+        writeEntries(files, 3);
         files.contentOf(firstSegment).resize(size);
         const auto state = reopen(files);
         REQUIRE(state.entries.size() == 2);
-        REQUIRE(state.truncatedBytes == size - keep);
+        REQUIRE(state.truncatedBytes == size - keptBytes);
         REQUIRE(reopen(files).truncatedBytes == 0);
     }
 }
@@ -113,7 +113,7 @@
     "damage before valid frames is reported with file and offset, and the file is not changed")
 {
     fake_file_system files;
-    fill(files, 3);
+    writeEntries(files, 3);
     auto &content = files.contentOf(firstSegment);
     content[40] ^= 1;
     const auto before = content;
@@ -129,7 +129,7 @@
 TEST_CASE("a full disk can be retried, a failed sync cannot")
 {
     fake_file_system files;
-    fill(files, 2);
+    writeEntries(files, 2);
     log_store store {files};
     stored_state state;
     storage_damage damage;
@@ -146,7 +146,7 @@
 TEST_CASE("a snapshot in chunks is read only once it is finished, and a missing chunk is damage")
 {
     fake_file_system files;
-    fill(files, 3);
+    writeEntries(files, 3);
     log_store store {files};
     stored_state state;
     storage_damage damage;
@@ -160,10 +160,10 @@
     REQUIRE_FALSE(store.addSnapshotChunk("two"));
     const auto unfinished = files.contentOf("snapshot.tmp");
     REQUIRE_FALSE(store.finishSnapshot());
-    const auto whole = reopen(files);
-    CHECK(whole.snapshot.index() == 2);
-    CHECK(whole.snapshotData == "one two");
-    CHECK(whole.entries.size() == 2);
+    const auto complete = reopen(files);
+    CHECK(complete.snapshot.index() == 2);
+    CHECK(complete.snapshotData == "one two");
+    CHECK(complete.entries.size() == 2);
 
     const std::string name = "snapshot-00000000000000000002";
     std::error_code error;
@@ -177,7 +177,7 @@
 TEST_CASE("invalidated entries are not read back")
 {
     fake_file_system files;
-    fill(files, 5);
+    writeEntries(files, 5);
     log_store store {files};
     stored_state state;
     storage_damage damage;
@@ -194,7 +194,7 @@
     checkProperty([] {
         std::mt19937_64 random {*rc::gen::arbitrary<std::uint64_t>()};
         fake_file_system files;
-        fill(files, 0);
+        writeEntries(files, 0);
         std::uint64_t synced = 0;
         std::uint64_t snapshotIndex = 0;
         for (int round = 0; round < 6; ++round) {
@@ -215,7 +215,7 @@
                 RC_ASSERT(!store.saveSnapshot(header, "state"));
                 snapshotIndex = synced;
             }
-            // Data that is not synced, and that no call has reported as durable, may be lost.
+            // An append of no bytes, which is not synced before the crash.
             files.append(firstSegment, "");
             files.crash(random);
         }
@@ -227,7 +227,7 @@
     checkProperty([] {
         constexpr std::uint64_t count = 6;
         fake_file_system files;
-        fill(files, count);
+        writeEntries(files, count);
         const bool hasSnapshot = *rc::gen::arbitrary<bool>();
         if (hasSnapshot) {
             log_store store {files};
