--- a/modules/filbert_node/filbert_node.h
+++ b/modules/filbert_node/filbert_node.h
@@ -17,7 +17,7 @@
     Depends on: filbert_replication, filbert_dispatch.
 */
 
-#include "leader_link.h"
-#include "order_relay.h"
+#include "leader_client.h"
+#include "order_router.h"
 #include "work_controller.h"
 #include "work_metrics.h"
--- a/modules/filbert_node/leader_link.cpp
+++ b/modules/filbert_node/leader_client.cpp
@@ -1,4 +1,4 @@
-#include "leader_link.h"
+#include "leader_client.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 void leader_client::setSeeds(const std::vector<std::string> &addresses)
 {
     seeds = addresses;
-    helloAt = {};
+    nextHelloAt = {};
 }
 
 std::set<std::string> leader_client::controllerAddresses() const
@@ -29,16 +29,16 @@
 {
     settings.canRequestAdmission = false;
     settings.canRelayOrders = false;
-    helloAt = {};
+    nextHelloAt = {};
 }
 
 bool leader_client::hasLeader(time_point now) const
 {
-    return !leader.empty() && now - leaderHeardAt < settings.silenceTimeout;
+    return !leader.empty() && now - lastLeaderContactAt < settings.silenceTimeout;
 }
 
 void leader_client::call(const messages::work_request &request, time_point now, time_point deadline,
-                         handler onEnd)
+                         call_handler onCompletion)
 {
     const auto id = ++lastExchange;
     auto &call = calls[id];
@@ -46,21 +46,21 @@
     call.envelope.set_from(settings.name);
     *call.envelope.mutable_request() = request;
     call.deadline = deadline;
-    call.giveUpUnsentAt = now + settings.unsentTimeout;
-    call.onEnd = std::move(onEnd);
+    call.unsentDeadline = now + settings.unsentTimeout;
+    call.onCompletion = std::move(onCompletion);
     sendCall(call, now);
 }
 
 void leader_client::sendCall(pending_call &call, time_point now)
 {
-    call.sendAt = now + settings.retryDelay;
+    call.nextSendAt = now + settings.retryDelay;
     if (leader.empty()) {
         return;
     }
     if (hooks.send(leader, call.envelope)) {
         call.wasSent = true;
         call.sentTo = leader;
-        call.sendAt = now + settings.resendTimeout;
+        call.nextSendAt = now + settings.resendTimeout;
     }
 }
 
@@ -70,7 +70,7 @@
     lastContactAt[address] = now;
     using body = messages::work_envelope::BodyCase;
     if (envelope.body_case() == body::kWelcome) {
-        takeWelcome(address, envelope.welcome(), now);
+        handleWelcome(address, envelope.welcome(), now);
         return;
     }
     if (envelope.body_case() == body::kAdmission) {
@@ -86,39 +86,40 @@
         return;
     }
     if (envelope.answer().kind() == messages::ANSWER_NO_LEADER) {
-        found->second.sendAt = now + settings.retryDelay;
+        found->second.nextSendAt = now + settings.retryDelay;
         if (leader == address) {
             leader.clear();
-            denier = address;
+            nonLeader = address;
             deniedAt = now;
-            helloAt = std::min(helloAt, now + settings.retryDelay);
+            nextHelloAt = std::min(nextHelloAt, now + settings.retryDelay);
         }
         return;
     }
     const auto call = std::move(found->second);
     calls.erase(found);
-    call.onEnd({true, true, envelope.answer()});
+    call.onCompletion({true, true, envelope.answer()});
 }
 
-void leader_client::takeWelcome(const std::string &address, const messages::peer_welcome &welcome,
-                                time_point now)
+void leader_client::handleWelcome(const std::string &address, const messages::peer_welcome &welcome,
+                                  time_point now)
 {
     for (const auto &member : welcome.members()) {
         if (members.insert(member.address()).second) {
-            helloAt = std::min(helloAt, now + settings.retryDelay); // it may become the leader
+            nextHelloAt =
+                std::min(nextHelloAt, now + settings.retryDelay); // it may become the leader
         }
     }
-    const bool isOwnWord = welcome.leader_address() == address;
-    if (welcome.leader_address().empty() || (!isOwnWord && hasLeader(now))) {
+    const bool isFromLeader = welcome.leader_address() == address;
+    if (welcome.leader_address().empty() || (!isFromLeader && hasLeader(now))) {
         return; // only the leader's own welcome replaces a leader that is still in contact
     }
     const bool isDenied =
-        welcome.leader_address() == denier && now - deniedAt < settings.helloPeriod;
-    if (isDenied && !isOwnWord) {
+        welcome.leader_address() == nonLeader && now - deniedAt < settings.helloPeriod;
+    if (isDenied && !isFromLeader) {
         return; // others do not know yet that it denied leading
     }
     if (welcome.leader_address() == leader) {
-        leaderHeardAt = isOwnWord ? now : leaderHeardAt;
+        lastLeaderContactAt = isFromLeader ? now : lastLeaderContactAt;
         return;
     }
     log_line {"leader_known"}
@@ -126,7 +127,7 @@
         .with("before", leader)
         .with("told_by", address);
     leader = welcome.leader_address();
-    leaderHeardAt = now;
+    lastLeaderContactAt = now;
     members = {};
     for (const auto &member : welcome.members()) {
         members.insert(member.address());
@@ -138,9 +139,9 @@
     }
 }
 
-void leader_client::sayHello(time_point now)
+void leader_client::sendHello(time_point now)
 {
-    helloAt = now + (hasLeader(now) ? settings.helloPeriod : settings.leaderSearchPeriod);
+    nextHelloAt = now + (hasLeader(now) ? settings.helloPeriod : settings.leaderSearchPeriod);
     messages::work_envelope envelope;
     envelope.set_from(settings.name);
     envelope.mutable_hello()->set_name(settings.name);
@@ -150,10 +151,10 @@
     envelope.mutable_hello()->set_process(settings.idBase);
     envelope.mutable_hello()->set_link_mbps(settings.linkMbps);
     for (const auto &address : controllerAddresses()) {
-        const auto quiet = std::max(lastContactAt[address], renewedAt[address]);
-        if (now - quiet > settings.silenceTimeout) {
+        const auto lastActivityAt = std::max(lastContactAt[address], reconnectedAt[address]);
+        if (now - lastActivityAt > settings.silenceTimeout) {
             hooks.reconnect(address);
-            renewedAt[address] = now;
+            reconnectedAt[address] = now;
         }
         hooks.send(address, envelope);
     }
@@ -161,27 +162,27 @@
 
 void leader_client::tick(time_point now)
 {
-    if (now >= helloAt) {
-        sayHello(now);
+    if (now >= nextHelloAt) {
+        sendHello(now);
     }
-    if (!leader.empty() && now - leaderHeardAt > settings.silenceTimeout) {
+    if (!leader.empty() && now - lastLeaderContactAt > settings.silenceTimeout) {
         log_line {"leader_silent", log_line::severity::Warning}
             .with("leader", leader)
-            .with("heard_ms_ago", (now - leaderHeardAt).count);
+            .with("heard_ms_ago", (now - lastLeaderContactAt).count);
         leader.clear();
     }
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (auto &[id, call] : calls) {
-        if (now >= call.deadline || (!call.wasSent && now >= call.giveUpUnsentAt)) {
-            late.push_back(id);
-        } else if (now >= call.sendAt) {
+        if (now >= call.deadline || (!call.wasSent && now >= call.unsentDeadline)) {
+            expired.push_back(id);
+        } else if (now >= call.nextSendAt) {
             sendCall(call, now);
         }
     }
-    for (const auto id : late) {
+    for (const auto id : expired) {
         const auto call = std::move(calls.at(id));
         calls.erase(id);
-        call.onEnd({false, call.wasSent, {}});
+        call.onCompletion({false, call.wasSent, {}});
     }
 }
 
--- a/modules/filbert_node/leader_link.h
+++ b/modules/filbert_node/leader_client.h
@@ -70,7 +70,7 @@
 class leader_client
 {
 public:
-    using handler = std::function<void(call_result &&)>;
+    using call_handler = std::function<void(call_result &&)>;
 
     leader_client(const leader_client_settings &settings, leader_client_hooks hooks);
 
@@ -80,11 +80,11 @@
     void setSeeds(const std::vector<std::string> &addresses);
 
     /** Sends a request to the leader.
-        @param deadline  when the call completes without an answer
-        @param onEnd     called exactly once, possibly before this returns
+        @param deadline      when the call completes without an answer
+        @param onCompletion  called exactly once, possibly before this returns
     */
     void call(const messages::work_request &request, time_point now, time_point deadline,
-              handler onEnd);
+              call_handler onCompletion);
 
     /** Announces that this process accepts no more work from the leader, before it stops. Requests
         can still be sent.
@@ -114,31 +114,31 @@
     {
         messages::work_envelope envelope;
         time_point deadline;
-        time_point giveUpUnsentAt;
-        time_point sendAt;
+        time_point unsentDeadline;
+        time_point nextSendAt;
         std::string sentTo;
         bool wasSent = false;
-        handler onEnd;
+        call_handler onCompletion;
     };
 
     void sendCall(pending_call &call, time_point now);
-    void takeWelcome(const std::string &address, const messages::peer_welcome &welcome,
-                     time_point now);
-    void sayHello(time_point now);
+    void handleWelcome(const std::string &address, const messages::peer_welcome &welcome,
+                       time_point now);
+    void sendHello(time_point now);
 
     leader_client_settings settings;
     leader_client_hooks hooks;
     std::vector<std::string> seeds;
     std::set<std::string> members;
     std::map<std::string, time_point> lastContactAt;
-    std::map<std::string, time_point> renewedAt;
+    std::map<std::string, time_point> reconnectedAt;
     std::string leader; // address of the leader; empty = unknown
-    time_point leaderHeardAt;
-    std::string denier; // address of the last controller that denied leading
+    time_point lastLeaderContactAt;
+    std::string nonLeader; // address of the last controller that denied leading
     time_point deniedAt;
     std::map<std::uint64_t, pending_call> calls;
     std::uint64_t lastExchange = 0;
-    time_point helloAt;
+    time_point nextHelloAt;
 };
 
 } // namespace filbert
--- a/modules/filbert_node/order_relay.cpp
+++ b/modules/filbert_node/order_router.cpp
@@ -1,4 +1,4 @@
-#include "order_relay.h"
+#include "order_router.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,15 +9,15 @@
 
 // A relay is not used if another one's link is more than this many times as wide: start orders
 // carry whole task specifications and would saturate the narrow link while the wide one is idle.
-constexpr std::uint64_t narrowFactor = 10;
+constexpr std::uint64_t maxLinkRatio = 10;
 
 /** @return the rendezvous-hashing weight of a relay for a target, the same in every process */
-std::size_t hashOf(const std::string &target, const std::string &carrier)
+std::size_t relayWeight(const std::string &target, const std::string &relay)
 {
-    std::string both = target;
-    both += '/';
-    both += carrier;
-    return std::hash<std::string> {}(both);
+    std::string key = target;
+    key += '/';
+    key += relay;
+    return std::hash<std::string> {}(key);
 }
 
 task_name taskFrom(const std::string &text)
@@ -27,65 +27,65 @@
 
 } // namespace
 
-order_router::order_router(const order_router_settings &settings, hooks given)
+order_router::order_router(const order_router_settings &settings, hooks callbacks)
     : settings {settings}
-    , given {std::move(given)}
+    , callbacks {std::move(callbacks)}
     , lastId {settings.idBase}
 {
 }
 
-void order_router::registerRelay(const std::string &name, const relay_info &about, time_point now)
+void order_router::registerRelay(const std::string &name, const relay_info &info, time_point now)
 {
-    const auto known = carriers.find(name);
-    const bool isNew = known == carriers.end() || known->second.lastContactAt.ms == 0;
-    const bool isReplaced = known != carriers.end() && known->second.about.process != about.process;
+    const auto known = relays.find(name);
+    const bool isNew = known == relays.end() || known->second.lastContactAt.ms == 0;
+    const bool isReplaced = known != relays.end() && known->second.info.process != info.process;
     if (isReplaced) {
-        loseCarrier(name, "its process was replaced by a new one", now);
+        markRelayLost(name, "its process was replaced by a new one", now);
     }
     if (isNew || isReplaced) {
-        chosen.clear();
+        relayByTarget.clear();
     }
-    carriers[name] = {about, now};
+    relays[name] = {info, now};
 }
 
 void order_router::unregisterRelay(const std::string &name)
 {
-    if (carriers.erase(name) > 0) {
-        chosen.clear();
+    if (relays.erase(name) > 0) {
+        relayByTarget.clear();
     }
 }
 
-const std::string &order_router::carrierFor(const std::string &target,
-                                            const std::string &failureDomain, time_point now)
+const std::string &order_router::relayFor(const std::string &target,
+                                          const std::string &failureDomain, time_point now)
 {
-    const auto found = chosen.find(target);
-    if (found != chosen.end()) {
+    const auto found = relayByTarget.find(target);
+    if (found != relayByTarget.end()) {
         return found->second;
     }
-    return chosen[target] = chooseCarrier(target, failureDomain, now);
+    return relayByTarget[target] = chooseRelay(target, failureDomain, now);
 }
 
-std::string order_router::chooseCarrier(const std::string &target, const std::string &failureDomain,
-                                        time_point now) const
+std::string order_router::chooseRelay(const std::string &target, const std::string &failureDomain,
+                                      time_point now) const
 {
-    const auto isHeard = [&](const carrier_state &carrier) {
-        return now - carrier.lastContactAt < settings.relayTimeout;
+    const auto isActive = [&](const relay_state &relay) {
+        return now - relay.lastContactAt < settings.relayTimeout;
     };
-    std::uint64_t widest = 0;
-    for (const auto &[name, carrier] : carriers) {
-        widest =
-            isHeard(carrier) ? std::max<std::uint64_t>(widest, carrier.about.linkMbps) : widest;
+    std::uint64_t widestLink = 0;
+    for (const auto &[name, relay] : relays) {
+        widestLink =
+            isActive(relay) ? std::max<std::uint64_t>(widestLink, relay.info.linkMbps) : widestLink;
     }
     // Rendezvous hashing: a relay that appears or is lost moves only its own share of the targets,
     // and a target's connections stay with one relay.
     std::string best;
     std::pair<bool, std::size_t> bestWeight;
-    for (const auto &[name, carrier] : carriers) {
-        if (!isHeard(carrier) || carrier.about.linkMbps * narrowFactor < widest) {
+    for (const auto &[name, relay] : relays) {
+        if (!isActive(relay) || relay.info.linkMbps * maxLinkRatio < widestLink) {
             continue;
         }
-        const std::pair<bool, std::size_t> weight {carrier.about.failureDomain == failureDomain,
-                                                   hashOf(target, name)};
+        const std::pair<bool, std::size_t> weight {relay.info.failureDomain == failureDomain,
+                                                   relayWeight(target, name)};
         if (best.empty() || weight > bestWeight) {
             best = name;
             bestWeight = weight;
@@ -94,123 +94,122 @@
     return best;
 }
 
-void order_router::send(const target_order &order, std::size_t targets,
+void order_router::send(const target_order &order, std::size_t targetCount,
                         const std::string &failureDomain, time_point now)
 {
-    if (targets <= settings.maxDirectTargets) {
-        given.callTarget(order);
+    if (targetCount <= settings.maxDirectTargets) {
+        callbacks.callTarget(order);
         return;
     }
-    const auto &carrier = carrierFor(order.target, failureDomain, now);
-    if (!carrier.empty()) {
-        pass(order, carrier, now);
-    } else if (now < carriersAwaitedUntil) {
-        held.push_back({order, failureDomain});
+    const auto &relay = relayFor(order.target, failureDomain, now);
+    if (!relay.empty()) {
+        enqueue(order, relay, now);
+    } else if (now < relayWaitDeadline) {
+        waitingOrders.push_back({order, failureDomain});
     } else {
-        given.callTarget(order);
+        callbacks.callTarget(order);
     }
 }
 
-void order_router::pass(const target_order &order, const std::string &carrier, time_point now)
+void order_router::enqueue(const target_order &order, const std::string &relay, time_point now)
 {
     const auto id = ++lastId;
-    open[id] = {order, carrier, now + order.timeout + settings.answerGracePeriod};
-    auto *added = gathered[carrier].mutable_carried()->add_orders();
+    pendingOrders[id] = {order, relay, now + order.timeout + settings.answerGracePeriod};
+    auto *added = outgoing[relay].mutable_carried()->add_orders();
     *added = orderMessageOf(order);
     added->set_id(id);
 }
 
-void order_router::passHeld(time_point now)
+void order_router::enqueueWaiting(time_point now)
 {
-    const bool isCarrierKnown = !chooseCarrier({}, {}, now).empty();
-    if (held.empty() || (!isCarrierKnown && now < carriersAwaitedUntil)) {
+    const bool isRelayKnown = !chooseRelay({}, {}, now).empty();
+    if (waitingOrders.empty() || (!isRelayKnown && now < relayWaitDeadline)) {
         return;
     }
-    for (const auto &[order, failureDomain] : std::exchange(held, {})) {
-        const auto &carrier = carrierFor(order.target, failureDomain, now);
-        if (carrier.empty()) {
-            given.callTarget(order);
+    for (const auto &[order, failureDomain] : std::exchange(waitingOrders, {})) {
+        const auto &relay = relayFor(order.target, failureDomain, now);
+        if (relay.empty()) {
+            callbacks.callTarget(order);
         } else {
-            pass(order, carrier, now);
+            enqueue(order, relay, now);
         }
     }
 }
 
 void order_router::flush(time_point now)
 {
-    passHeld(now);
-    for (const auto &[carrier, envelope] : std::exchange(gathered, {})) {
-        given.send(carrier, envelope);
+    enqueueWaiting(now);
+    for (const auto &[relay, envelope] : std::exchange(outgoing, {})) {
+        callbacks.send(relay, envelope);
     }
 }
 
-void order_router::handleAnswers(const std::string &carrier,
-                                 const messages::carried_answers &answers)
+void order_router::handleAnswers(const std::string &relay, const messages::carried_answers &answers)
 {
     for (const auto &message : answers.answers()) {
-        const auto found = open.find(message.id());
-        if (found == open.end() || found->second.carrier != carrier) {
+        const auto found = pendingOrders.find(message.id());
+        if (found == pendingOrders.end() || found->second.relay != relay) {
             continue; // the order has ended already
         }
         const auto order = std::move(found->second.order);
-        open.erase(found);
-        given.onAnswer(order, answerFrom(message));
+        pendingOrders.erase(found);
+        callbacks.onAnswer(order, answerFrom(message));
     }
 }
 
 void order_router::tick(time_point now)
 {
     std::map<std::string, std::string> lost; // reason by relay
-    for (const auto &[id, each] : open) {
-        if (now >= each.deadline) {
-            lost.emplace(each.carrier, "an order timed out without an answer");
+    for (const auto &[id, pending] : pendingOrders) {
+        if (now >= pending.deadline) {
+            lost.emplace(pending.relay, "an order timed out without an answer");
         }
     }
-    for (const auto &[name, carrier] : carriers) {
-        if (carrier.lastContactAt.ms != 0 && now - carrier.lastContactAt >= settings.relayTimeout) {
+    for (const auto &[name, relay] : relays) {
+        if (relay.lastContactAt.ms != 0 && now - relay.lastContactAt >= settings.relayTimeout) {
             lost.emplace(name, "no hello within the timeout");
         }
     }
     for (const auto &[name, reason] : lost) {
-        loseCarrier(name, reason, now);
+        markRelayLost(name, reason, now);
     }
 }
 
-void order_router::loseCarrier(const std::string &name, const std::string &reason, time_point now)
+void order_router::markRelayLost(const std::string &name, const std::string &reason, time_point now)
 {
     std::vector<target_order> orders;
-    for (auto entry = open.begin(); entry != open.end();) {
-        if (entry->second.carrier != name) {
+    for (auto entry = pendingOrders.begin(); entry != pendingOrders.end();) {
+        if (entry->second.relay != name) {
             ++entry;
             continue;
         }
         orders.push_back(std::move(entry->second.order));
-        entry = open.erase(entry);
+        entry = pendingOrders.erase(entry);
     }
-    const auto found = carriers.find(name);
-    auto *carrier = found == carriers.end() ? nullptr : &found->second;
+    const auto found = relays.find(name);
+    auto *relay = found == relays.end() ? nullptr : &found->second;
     log_line {"carrier_lost", log_line::severity::Warning}
         .with("carrier", name)
         .with("reason", reason)
         .with("orders", orders.size())
-        .with("heard_ms_ago", carrier == nullptr ? -1 : (now - carrier->lastContactAt).count);
-    if (carrier != nullptr) {
-        carrier->lastContactAt = {};
+        .with("heard_ms_ago", relay == nullptr ? -1 : (now - relay->lastContactAt).count);
+    if (relay != nullptr) {
+        relay->lastContactAt = {};
     }
-    chosen.clear();
-    order_answer none;
-    none.result = order_result::RelayLost;
+    relayByTarget.clear();
+    order_answer lostAnswer;
+    lostAnswer.result = order_result::RelayLost;
     for (const auto &order : orders) {
-        given.onAnswer(order, none);
+        callbacks.onAnswer(order, lostAnswer);
     }
 }
 
 void order_router::startTerm(time_point now)
 {
-    open.clear();
-    gathered.clear();
-    held.clear();
-    carriersAwaitedUntil = now + settings.relayDiscoveryTimeout;
+    pendingOrders.clear();
+    outgoing.clear();
+    waitingOrders.clear();
+    relayWaitDeadline = now + settings.relayDiscoveryTimeout;
 }
 
 messages::carried_order orderMessageOf(const target_order &order)
--- a/modules/filbert_node/order_relay.h
+++ b/modules/filbert_node/order_router.h
@@ -25,8 +25,8 @@
     // entry hosts find the new leader within their hello period; calling that many targets itself
     // would take the leader as long.
     milliseconds relayDiscoveryTimeout {400};
-    milliseconds answerGracePeriod {
-        350}; // on top of the order's timeout: two hops and a loop turn each
+    // On top of the order's timeout: two hops and an event loop turn each.
+    milliseconds answerGracePeriod {350};
 };
 
 /** What a relay reports of itself in its hellos. */
@@ -54,20 +54,20 @@
     struct hooks
     {
         /** Sends a message to a relay. */
-        std::function<void(const std::string &carrier, const messages::work_envelope &)> send;
+        std::function<void(const std::string &relay, const messages::work_envelope &)> send;
         /** Calls the target directly; its answer does not pass through the router. */
         std::function<void(const target_order &)> callTarget;
         /** Called once for each order that was sent to a relay, unless its term ends before. */
         std::function<void(const target_order &, const order_answer &)> onAnswer;
     };
 
-    order_router(const order_router_settings &settings, hooks given);
+    order_router(const order_router_settings &settings, hooks callbacks);
 
     /** Handles the hello of a process that relays orders.
-        @param about  what it reports of itself; if the process replaces an earlier one of the same
-                      name, the pending orders of the earlier one end as RelayLost at once
+        @param info  what it reports of itself; if the process replaces an earlier one of the same
+                     name, the pending orders of the earlier one end as RelayLost at once
     */
-    void registerRelay(const std::string &name, const relay_info &about, time_point now);
+    void registerRelay(const std::string &name, const relay_info &info, time_point now);
 
     /** Handles the hello of a process that relays no orders, or no more since it stops. It still
         answers the orders that it has.
@@ -75,10 +75,10 @@
     void unregisterRelay(const std::string &name);
 
     /** Calls the target directly, or queues the order for the next flush().
-        @param targets        number of targets in the cell
+        @param targetCount    number of targets in the cell
         @param failureDomain  of the order's target
     */
-    void send(const target_order &order, std::size_t targets, const std::string &failureDomain,
+    void send(const target_order &order, std::size_t targetCount, const std::string &failureDomain,
               time_point now);
 
     /** Sends the queued orders to their relays. Call it once per turn of the event loop, and only
@@ -87,7 +87,7 @@
     void flush(time_point now);
 
     /** Handles the answers that a relay returns; those that match no pending order are ignored. */
-    void handleAnswers(const std::string &carrier, const messages::carried_answers &answers);
+    void handleAnswers(const std::string &relay, const messages::carried_answers &answers);
 
     /** Ends all orders of each relay that is silent, or has not answered one order in time. */
     void tick(time_point now);
@@ -98,42 +98,42 @@
     void startTerm(time_point now);
 
 private:
-    struct carrier_state
+    struct relay_state
     {
-        relay_info about;
+        relay_info info;
         time_point lastContactAt; // its last hello; 0 = lost, not used before its next hello
     };
 
-    struct open_order
+    struct pending_order
     {
         target_order order;
-        std::string carrier;
+        std::string relay;
         time_point deadline;
     };
 
-    struct held_order
+    struct waiting_order
     {
         target_order order;
         std::string failureDomain; // of its target
     };
 
-    const std::string &carrierFor(const std::string &target, const std::string &failureDomain,
-                                  time_point now);
-    std::string chooseCarrier(const std::string &target, const std::string &failureDomain,
-                              time_point now) const;
-    void pass(const target_order &order, const std::string &carrier, time_point now);
-    void passHeld(time_point now);
-    void loseCarrier(const std::string &name, const std::string &reason, time_point now);
+    const std::string &relayFor(const std::string &target, const std::string &failureDomain,
+                                time_point now);
+    std::string chooseRelay(const std::string &target, const std::string &failureDomain,
+                            time_point now) const;
+    void enqueue(const target_order &order, const std::string &relay, time_point now);
+    void enqueueWaiting(time_point now);
+    void markRelayLost(const std::string &name, const std::string &reason, time_point now);
 
     order_router_settings settings;
-    hooks given;
-    std::map<std::string, carrier_state> carriers;
+    hooks callbacks;
+    std::map<std::string, relay_state> relays;
     // Relay by target; cleared when the set of relays changes.
-    std::unordered_map<std::string, std::string> chosen;
-    std::map<std::uint64_t, open_order> open;
-    std::map<std::string, messages::work_envelope> gathered; // for the next flush, by relay
-    std::vector<held_order> held; // until a relay is known, or the wait for one is over
-    time_point carriersAwaitedUntil;
+    std::unordered_map<std::string, std::string> relayByTarget;
+    std::map<std::uint64_t, pending_order> pendingOrders;
+    std::map<std::string, messages::work_envelope> outgoing; // for the next flush, by relay
+    std::vector<waiting_order> waitingOrders; // until a relay is known, or the wait for one is over
+    time_point relayWaitDeadline;
     std::uint64_t lastId = 0;
 };
 
--- /dev/null
+++ b/modules/filbert_node/tests/leader_client_test.cpp
@@ -0,0 +1,205 @@
+#include "filbert_node/filbert_node.h"
+
+#include <catch2/catch.hpp>
+
+using namespace filbert;
+
+namespace {
+
+struct client_fixture
+{
+    time_point now {10'000};
+    std::vector<std::pair<std::string, messages::work_envelope>> sent;
+    std::vector<std::string> reconnected;
+    leader_client client;
+
+    client_fixture()
+        : client {settings(),
+                  {[this](const std::string &address, const messages::work_envelope &envelope) {
+                       sent.emplace_back(address, envelope);
+                       return true;
+                   },
+                   [this](const std::string &address) { reconnected.push_back(address); },
+                   [](const messages::admission_request &, const std::string &) {},
+                   [](const messages::carried_orders &, const std::string &) {}}}
+    {
+        client.setSeeds({"tcp://c1", "tcp://c2"});
+    }
+
+    static leader_client_settings settings()
+    {
+        leader_client_settings settings;
+        settings.name = "gateway-1";
+        return settings;
+    }
+
+    void receiveWelcome(const std::string &from, const std::string &leader)
+    {
+        messages::work_envelope envelope;
+        envelope.mutable_welcome()->set_leader(leader);
+        envelope.mutable_welcome()->set_leader_address(leader);
+        client.handleEnvelope(from, envelope, now);
+    }
+
+    void advance(milliseconds duration)
+    {
+        for (const auto end = now + duration; now < end; now = now + milliseconds {20}) {
+            client.tick(now);
+        }
+    }
+
+    std::vector<std::string> requestAddresses() const
+    {
+        std::vector<std::string> addresses;
+        for (const auto &[address, envelope] : sent) {
+            if (envelope.has_request()) {
+                addresses.push_back(address);
+            }
+        }
+        return addresses;
+    }
+};
+
+} // namespace
+
+TEST_CASE("a request completes unsent well before its deadline if no leader is found", "[link]")
+{
+    client_fixture fixture;
+    std::optional<call_result> result;
+    fixture.client.call({}, fixture.now, fixture.now + milliseconds {10'000},
+                        [&](call_result &&completed) { result = completed; });
+    fixture.advance({1'400});
+    CHECK_FALSE(result);
+    fixture.advance({300});
+    REQUIRE(result);
+    CHECK_FALSE(result->isAnswered);
+    CHECK_FALSE(result->wasSent);
+}
+
+TEST_CASE("a request is sent to the new leader after the first controller denies leading", "[link]")
+{
+    client_fixture fixture;
+    fixture.receiveWelcome("tcp://c1", "tcp://c1");
+    std::optional<call_result> result;
+    fixture.client.call({}, fixture.now, fixture.now + milliseconds {3'000},
+                        [&](call_result &&completed) { result = completed; });
+    REQUIRE(fixture.requestAddresses() == std::vector<std::string> {"tcp://c1"});
+    messages::work_envelope denial;
+    denial.set_exchange(1);
+    denial.mutable_answer()->set_kind(messages::ANSWER_NO_LEADER);
+    fixture.client.handleEnvelope("tcp://c1", denial, fixture.now);
+    fixture.receiveWelcome("tcp://c2", "tcp://c2");
+    CHECK(fixture.requestAddresses() == std::vector<std::string> {"tcp://c1", "tcp://c2"});
+    messages::work_envelope confirmation;
+    confirmation.set_exchange(1);
+    confirmation.mutable_answer()->set_kind(messages::ANSWER_OK);
+    fixture.client.handleEnvelope("tcp://c2", confirmation, fixture.now);
+    REQUIRE(result);
+    CHECK(result->isAnswered);
+    CHECK(fixture.client.pendingCalls() == 0);
+}
+
+TEST_CASE("an unanswered request is resent, and completes as sent at its deadline", "[link]")
+{
+    client_fixture fixture;
+    fixture.receiveWelcome("tcp://c1", "tcp://c1");
+    std::optional<call_result> result;
+    fixture.client.call({}, fixture.now, fixture.now + milliseconds {900},
+                        [&](call_result &&completed) { result = completed; });
+    fixture.advance({1'000});
+    CHECK(fixture.requestAddresses().size() == 2);
+    REQUIRE(result);
+    CHECK_FALSE(result->isAnswered);
+    CHECK(result->wasSent);
+}
+
+TEST_CASE("a follower's welcome does not replace a leader that is still in contact", "[link]")
+{
+    client_fixture fixture;
+    fixture.receiveWelcome("tcp://c1", "tcp://c1");
+    fixture.receiveWelcome("tcp://c2", "tcp://c9");
+    CHECK(fixture.client.hasLeader(fixture.now));
+    fixture.client.call({}, fixture.now, fixture.now + milliseconds {900}, [](call_result &&) {});
+    CHECK(fixture.requestAddresses() == std::vector<std::string> {"tcp://c1"});
+}
+
+TEST_CASE("a silent connection is re-established", "[link]")
+{
+    client_fixture fixture;
+    fixture.receiveWelcome("tcp://c1", "tcp://c1");
+    fixture.advance({1'600});
+    CHECK(std::count(fixture.reconnected.begin(), fixture.reconnected.end(), "tcp://c1") >= 1);
+}
+
+TEST_CASE("a newly learned controller gets a hello soon", "[link]")
+{
+    client_fixture fixture;
+    fixture.receiveWelcome("tcp://c1", "tcp://c1");
+    fixture.advance({40});
+    fixture.sent.clear();
+    messages::work_envelope envelope;
+    envelope.mutable_welcome()->add_members()->set_address("tcp://c3");
+    fixture.client.handleEnvelope("tcp://c2", envelope, fixture.now);
+    fixture.advance({100});
+    CHECK(std::any_of(fixture.sent.begin(), fixture.sent.end(),
+                      [](const auto &message) { return message.first == "tcp://c3"; }));
+}
+
+TEST_CASE("hellos are sent more often while no leader is known", "[link]")
+{
+    const auto countHellos = [](client_fixture &fixture) {
+        fixture.sent.clear();
+        fixture.advance({900});
+        return fixture.sent.size() / 2; // each goes to two controllers
+    };
+    client_fixture withoutLeader;
+    CHECK(countHellos(withoutLeader) >= 8);
+    client_fixture withLeader;
+    withLeader.receiveWelcome("tcp://c1", "tcp://c1");
+    CHECK(countHellos(withLeader) <= 4);
+}
+
+TEST_CASE("a stopping process announces it in its next hello", "[link]")
+{
+    client_fixture fixture;
+    fixture.advance({40});
+    fixture.sent.clear();
+    fixture.client.stopAcceptingWork();
+    fixture.advance({20});
+    REQUIRE(!fixture.sent.empty());
+    CHECK_FALSE(fixture.sent.back().second.hello().carries_orders());
+}
+
+TEST_CASE(
+    "a controller that denies leading is not flooded with requests while others still name it",
+    "[link]")
+{
+    client_fixture fixture;
+    fixture.receiveWelcome("tcp://c2", "tcp://c1");
+    fixture.client.call({}, fixture.now, fixture.now + milliseconds {10'000},
+                        [](call_result &&) {});
+    messages::work_envelope denial;
+    denial.mutable_answer()->set_kind(messages::ANSWER_NO_LEADER);
+    std::size_t answered = 0;
+    // Everything that was sent is answered after a network delay of 1 ms. Without pauses between
+    // retries, denials and welcomes would make the client resend requests and hellos each time.
+    for (const auto end = fixture.now + milliseconds {600}; fixture.now < end;
+         fixture.now = fixture.now + milliseconds {1}) {
+        fixture.client.tick(fixture.now);
+        for (; answered < fixture.sent.size(); ++answered) {
+            const auto [address, envelope] = fixture.sent[answered];
+            if (envelope.has_request()) {
+                denial.set_exchange(envelope.exchange());
+                fixture.client.handleEnvelope(address, denial, fixture.now);
+            } else if (address == "tcp://c2") {
+                fixture.receiveWelcome("tcp://c2", "tcp://c1");
+            }
+        }
+    }
+    CHECK(fixture.requestAddresses().size() <= 4);
+    CHECK(fixture.sent.size() <= 30);
+    fixture.receiveWelcome("tcp://c1", "tcp://c1"); // the leader's own welcome counts at once
+    const auto before = fixture.requestAddresses().size();
+    fixture.advance({100});
+    CHECK(fixture.requestAddresses().size() > before);
+}
--- a/modules/filbert_node/tests/work_controller_test.cpp
+++ b/modules/filbert_node/tests/work_controller_test.cpp
@@ -20,11 +20,11 @@
     std::vector<target_order> orders;
     std::map<std::uint64_t, messages::work_answer> answers; // by exchange
     std::vector<std::pair<std::string, messages::admission_request>> admissions; // by process
-    std::vector<std::string> toldOfLeader; // processes that got a welcome which names a leader
+    std::vector<std::string> notifiedPeers; // processes that got a welcome which names a leader
     std::unique_ptr<work_controller> controller;
     std::uint64_t lastExchange = 0;
 
-    explicit controller_fixture(int faultTolerance = 0, bool hearsBeforeLeading = false)
+    explicit controller_fixture(int faultTolerance = 0, bool isGreetedBeforeLeading = false)
     {
         REQUIRE(!store.initialise("a"));
         stored_state stored;
@@ -45,7 +45,7 @@
         hooks.sendToPeer = [this](const std::string &peer,
                                   const messages::work_envelope &envelope) {
             if (envelope.has_welcome() && !envelope.welcome().leader().empty()) {
-                toldOfLeader.push_back(peer);
+                notifiedPeers.push_back(peer);
             }
             if (envelope.has_admission()) {
                 admissions.emplace_back(peer, envelope.admission());
@@ -58,28 +58,28 @@
         replication_settings replication;
         controller = std::make_unique<work_controller>(settings, replication, stored, 3, store,
                                                        metrics, hooks, now - milliseconds {3'000});
-        if (hearsBeforeLeading) {
+        if (isGreetedBeforeLeading) {
             messages::work_envelope envelope;
             envelope.mutable_hello()->set_asks_admission(true);
             controller->handleEnvelope("gateway-1", envelope, now, 1'000);
         }
-        turn();
-        turn();
+        runTurn();
+        runTurn();
     }
 
-    void turn()
+    void runTurn()
     {
         controller->tick(now);
         REQUIRE(!controller->flush(now, 1'000));
     }
 
-    messages::work_answer ask(const messages::work_request &request)
+    messages::work_answer sendRequest(const messages::work_request &request)
     {
         messages::work_envelope envelope;
         envelope.set_exchange(++lastExchange);
         *envelope.mutable_request() = request;
         controller->handleEnvelope("gateway-1", envelope, now, 1'000);
-        turn();
+        runTurn();
         return answers[lastExchange];
     }
 
@@ -90,11 +90,11 @@
         *request.mutable_configure() = content.state.configuration;
         request.mutable_configure()->set_version(version);
         request.mutable_configure()->set_document("document " + std::to_string(version));
-        return ask(request);
+        return sendRequest(request);
     }
 
-    messages::work_answer job(messages::job_call_kind kind, const std::string &path = jobPath,
-                              const std::string &key = "key-of-desk", int tasks = 1)
+    messages::work_answer callJob(messages::job_call_kind kind, const std::string &path = jobPath,
+                                  const std::string &key = "key-of-desk", int tasks = 1)
     {
         messages::work_request request;
         auto *call = request.mutable_job();
@@ -105,7 +105,7 @@
         if (kind == messages::JOB_SUBMIT && tasks > 0) {
             *call->mutable_job()->add_steps() = work_fixture::step(tasks);
         }
-        return ask(request);
+        return sendRequest(request);
     }
 };
 
@@ -113,96 +113,98 @@
 
 TEST_CASE("requests are rejected before the first configuration", "[controller]")
 {
-    controller_fixture cell;
-    REQUIRE(cell.controller->isLeading());
-    CHECK(cell.job(messages::JOB_SUBMIT).kind() == messages::ANSWER_NOT_NOW);
+    controller_fixture fixture;
+    REQUIRE(fixture.controller->isLeading());
+    CHECK(fixture.callJob(messages::JOB_SUBMIT).kind() == messages::ANSWER_NOT_NOW);
     messages::work_request read;
     read.set_read_configuration(true);
-    CHECK(cell.ask(read).kind() == messages::ANSWER_NOT_NOW);
+    CHECK(fixture.sendRequest(read).kind() == messages::ANSWER_NOT_NOW);
 }
 
 TEST_CASE("the first configuration is rejected until enough controllers have joined",
           "[controller]")
 {
-    controller_fixture cell {1};
-    CHECK(cell.configure(3).kind() == messages::ANSWER_NOT_NOW);
+    controller_fixture fixture {1};
+    CHECK(fixture.configure(3).kind() == messages::ANSWER_NOT_NOW);
 }
 
 TEST_CASE("the newest configuration wins, older ones are acknowledged and invalid ones rejected",
           "[controller]")
 {
-    controller_fixture cell;
-    CHECK(cell.configure(5).kind() == messages::ANSWER_OK);
-    CHECK(cell.configure(5).kind() == messages::ANSWER_OK);
-    CHECK(cell.configure(4).kind() == messages::ANSWER_OK);
+    controller_fixture fixture;
+    CHECK(fixture.configure(5).kind() == messages::ANSWER_OK);
+    CHECK(fixture.configure(5).kind() == messages::ANSWER_OK);
+    CHECK(fixture.configure(4).kind() == messages::ANSWER_OK);
     messages::work_request read;
     read.set_read_configuration(true);
-    CHECK(cell.ask(read).document() == "document 5");
-    messages::work_request wrong;
-    wrong.mutable_configure()->set_version(9);
-    wrong.mutable_configure()->add_queues()->set_service("nobody");
-    CHECK(cell.ask(wrong).kind() == messages::ANSWER_MALFORMED);
-    CHECK(cell.ask(read).document() == "document 5");
+    CHECK(fixture.sendRequest(read).document() == "document 5");
+    messages::work_request invalid;
+    invalid.mutable_configure()->set_version(9);
+    invalid.mutable_configure()->add_queues()->set_service("nobody");
+    CHECK(fixture.sendRequest(invalid).kind() == messages::ANSWER_MALFORMED);
+    CHECK(fixture.sendRequest(read).document() == "document 5");
 }
 
 TEST_CASE("a job is submitted, queried and cancelled", "[controller]")
 {
-    controller_fixture cell;
-    cell.configure(1);
-    CHECK(cell.job(messages::JOB_STATE).kind() == messages::ANSWER_NO_JOB);
-    CHECK(cell.job(messages::JOB_SUBMIT).kind() == messages::ANSWER_OK);
-    CHECK(cell.job(messages::JOB_SUBMIT).kind() == messages::ANSWER_OK); // a repeated submission
-    CHECK(cell.controller->work().jobs.size() == 1);
-    CHECK(cell.job(messages::JOB_STATE).name() == "queued");
-    CHECK(cell.job(messages::JOB_STATE, "/quotes/").number() == 1);
-    CHECK(cell.job(messages::JOB_CANCEL).kind() == messages::ANSWER_OK);
-    CHECK(cell.job(messages::JOB_STATE).name() == "cancelled");
-    CHECK(cell.job(messages::JOB_STATE, "/quotes/").number() == 0);
-    CHECK(cell.job(messages::JOB_CANCEL, "/quotes/ffffffffffffffff").kind()
+    controller_fixture fixture;
+    fixture.configure(1);
+    CHECK(fixture.callJob(messages::JOB_STATE).kind() == messages::ANSWER_NO_JOB);
+    CHECK(fixture.callJob(messages::JOB_SUBMIT).kind() == messages::ANSWER_OK);
+    // A repeated submission.
+    CHECK(fixture.callJob(messages::JOB_SUBMIT).kind() == messages::ANSWER_OK);
+    CHECK(fixture.controller->work().jobs.size() == 1);
+    CHECK(fixture.callJob(messages::JOB_STATE).name() == "queued");
+    CHECK(fixture.callJob(messages::JOB_STATE, "/quotes/").number() == 1);
+    CHECK(fixture.callJob(messages::JOB_CANCEL).kind() == messages::ANSWER_OK);
+    CHECK(fixture.callJob(messages::JOB_STATE).name() == "cancelled");
+    CHECK(fixture.callJob(messages::JOB_STATE, "/quotes/").number() == 0);
+    CHECK(fixture.callJob(messages::JOB_CANCEL, "/quotes/ffffffffffffffff").kind()
           == messages::ANSWER_NO_JOB);
 }
 
 TEST_CASE("invalid requests are rejected with the matching kind of answer", "[controller]")
 {
-    controller_fixture cell;
-    cell.configure(1);
-    CHECK(cell.job(messages::JOB_SUBMIT, jobPath, "stolen").kind()
+    controller_fixture fixture;
+    fixture.configure(1);
+    CHECK(fixture.callJob(messages::JOB_SUBMIT, jobPath, "stolen").kind()
           == messages::ANSWER_UNAUTHORIZED);
-    CHECK(cell.job(messages::JOB_SUBMIT, "/nowhere/5c0e7a21d94b36f8").kind()
+    CHECK(fixture.callJob(messages::JOB_SUBMIT, "/nowhere/5c0e7a21d94b36f8").kind()
           == messages::ANSWER_NO_QUEUE);
-    CHECK(cell.job(messages::JOB_SUBMIT, "/quotes/short").kind() == messages::ANSWER_MALFORMED);
-    CHECK(cell.job(messages::JOB_SUBMIT, jobPath, "key-of-desk", 0).kind()
+    CHECK(fixture.callJob(messages::JOB_SUBMIT, "/quotes/short").kind()
           == messages::ANSWER_MALFORMED);
-    CHECK(cell.controller->work().jobs.empty());
+    CHECK(fixture.callJob(messages::JOB_SUBMIT, jobPath, "key-of-desk", 0).kind()
+          == messages::ANSWER_MALFORMED);
+    CHECK(fixture.controller->work().jobs.empty());
 }
 
 TEST_CASE("a job is placed on a reporting target, and ordered to start after the commit",
           "[controller]")
 {
-    controller_fixture cell;
-    cell.configure(1);
+    controller_fixture fixture;
+    fixture.configure(1);
     messages::work_request report;
     *report.mutable_report() = work_fixture::life("t1", 1);
     report.mutable_report()->set_sequence(1);
     report.mutable_report()->set_clock_ms(500);
-    CHECK(cell.ask(report).kind() == messages::ANSWER_OK);
+    CHECK(fixture.sendRequest(report).kind() == messages::ANSWER_OK);
     report.mutable_report()->set_sequence(2);
-    CHECK(cell.ask(report).kind() == messages::ANSWER_OK);
-    cell.job(messages::JOB_SUBMIT);
-    cell.turn();
-    const auto start = std::find_if(cell.orders.begin(), cell.orders.end(), [](const auto &order) {
-        return order.kind == order_kind::Start;
-    });
-    REQUIRE(start != cell.orders.end());
+    CHECK(fixture.sendRequest(report).kind() == messages::ANSWER_OK);
+    fixture.callJob(messages::JOB_SUBMIT);
+    fixture.runTurn();
+    const auto start =
+        std::find_if(fixture.orders.begin(), fixture.orders.end(),
+                     [](const auto &order) { return order.kind == order_kind::Start; });
+    REQUIRE(start != fixture.orders.end());
     CHECK(start->target == "t1");
     CHECK(start->spec.empty()); // the job was submitted without one
-    CHECK(cell.job(messages::JOB_STATE).name() == "active");
+    CHECK(fixture.callJob(messages::JOB_STATE).name() == "active");
 }
 
 TEST_CASE("a new leader sends admission requests to processes that it heard from as a follower",
           "[controller]")
 {
-    controller_fixture cell {0, true};
+    controller_fixture fixture {0, true};
     messages::work_request request;
     work_fixture content;
     *request.mutable_configure() = content.state.configuration;
@@ -210,45 +212,45 @@
     queue->mutable_admission()->set_decide_ms(20);
     queue->mutable_admission()->set_ticket_ms(1'500);
     request.mutable_configure()->set_version(3);
-    REQUIRE(cell.ask(request).kind() == messages::ANSWER_OK);
+    REQUIRE(fixture.sendRequest(request).kind() == messages::ANSWER_OK);
     messages::work_request report;
     *report.mutable_report() = work_fixture::life("t1", 1);
     report.mutable_report()->set_clock_ms(1);
     report.mutable_report()->set_sequence(1);
-    REQUIRE(cell.ask(report).kind() == messages::ANSWER_OK);
+    REQUIRE(fixture.sendRequest(report).kind() == messages::ANSWER_OK);
     report.mutable_report()->set_sequence(2);
     report.mutable_report()->set_clock_ms(2);
-    cell.ask(report);
-    REQUIRE(cell.job(messages::JOB_SUBMIT).kind() == messages::ANSWER_OK);
-    cell.turn();
-    cell.turn();
-    REQUIRE(cell.admissions.size() == 1);
-    CHECK(cell.admissions[0].first == "gateway-1");
+    fixture.sendRequest(report);
+    REQUIRE(fixture.callJob(messages::JOB_SUBMIT).kind() == messages::ANSWER_OK);
+    fixture.runTurn();
+    fixture.runTurn();
+    REQUIRE(fixture.admissions.size() == 1);
+    CHECK(fixture.admissions[0].first == "gateway-1");
 }
 
 TEST_CASE("a new leader announces itself at once to processes that sent it a hello before",
           "[controller]")
 {
-    CHECK(controller_fixture {}.toldOfLeader.empty());
-    const controller_fixture cell {0, true};
-    REQUIRE(cell.toldOfLeader.size() == 1);
-    CHECK(cell.toldOfLeader[0] == "gateway-1");
+    CHECK(controller_fixture {}.notifiedPeers.empty());
+    const controller_fixture fixture {0, true};
+    REQUIRE(fixture.notifiedPeers.size() == 1);
+    CHECK(fixture.notifiedPeers[0] == "gateway-1");
 }
 
 TEST_CASE("a stopping controller rejects requests", "[controller]")
 {
-    controller_fixture cell;
-    cell.configure(1);
-    cell.controller->prepareToStop(cell.now);
-    CHECK(cell.job(messages::JOB_SUBMIT).kind() == messages::ANSWER_NO_LEADER);
+    controller_fixture fixture;
+    fixture.configure(1);
+    fixture.controller->prepareToStop(fixture.now);
+    CHECK(fixture.callJob(messages::JOB_SUBMIT).kind() == messages::ANSWER_NO_LEADER);
 }
 
 TEST_CASE("metrics count applied commands and record commit times", "[controller]")
 {
-    controller_fixture cell;
-    cell.configure(1);
-    cell.job(messages::JOB_SUBMIT);
-    const auto text = cell.metrics.text();
+    controller_fixture fixture;
+    fixture.configure(1);
+    fixture.callJob(messages::JOB_SUBMIT);
+    const auto text = fixture.metrics.text();
     CHECK(text.find("filbert_work_commands_total{kind=\"accept\"} 1") != std::string::npos);
     CHECK(text.find("filbert_work_commit_seconds_count") != std::string::npos);
 }
--- a/modules/filbert_node/work_controller.cpp
+++ b/modules/filbert_node/work_controller.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr milliseconds peerSpan {3'000}; // ten missed hellos: the process is considered gone
+constexpr milliseconds peerTimeout {3'000}; // ten missed hellos: the process is considered gone
 
 std::string commandName(const messages::work_command &command)
 {
@@ -32,11 +32,11 @@
 work_controller::work_controller(const work_controller_settings &settings,
                                  const replication_settings &replication,
                                  const stored_state &stored, std::uint64_t seed, log_store &store,
-                                 work_metrics &metrics, work_controller_hooks hooksGiven,
+                                 work_metrics &metrics, work_controller_hooks callerHooks,
                                  time_point now)
     : settings {settings}
     , metrics {metrics}
-    , hooks {std::move(hooksGiven)}
+    , hooks {std::move(callerHooks)}
     , log {replication,
            snapshot_settings {},
            stored,
@@ -54,14 +54,14 @@
             },
             [this] { return writeWorkState(state); }},
            now}
-    , relay {settings.router,
-             {[this](const std::string &carrier, const messages::work_envelope &envelope) {
-                  hooks.sendToPeer(carrier, envelope);
-              },
-              [this](const target_order &order) { hooks.callTarget(order); },
-              [this](const target_order &order, const order_answer &answer) {
-                  handleOrderAnswer(order, answer, monotonicNow());
-              }}}
+    , router {settings.router,
+              {[this](const std::string &relay, const messages::work_envelope &envelope) {
+                   hooks.sendToPeer(relay, envelope);
+               },
+               [this](const target_order &order) { hooks.callTarget(order); },
+               [this](const target_order &order, const order_answer &answer) {
+                   handleOrderAnswer(order, answer, monotonicNow());
+               }}}
 {
 }
 
@@ -75,10 +75,10 @@
         log.handleMessage(envelope.replication(), now);
         break;
     case body::kHello:
-        welcome(peer, envelope.hello(), now);
+        handleHello(peer, envelope.hello(), now);
         break;
     case body::kJoin:
-        candidates[envelope.join().self().identity()] = {envelope.join().self(), now};
+        pendingJoins[envelope.join().self().identity()] = {envelope.join().self(), now};
         break;
     case body::kRequest:
         handleRequest({peer, envelope.exchange()}, envelope.request(), now, wallMs);
@@ -89,15 +89,15 @@
         }
         break;
     case body::kCarriedAnswers:
-        relay.handleAnswers(peer, envelope.carried_answers());
+        router.handleAnswers(peer, envelope.carried_answers());
         break;
     default:
         log_line {"message_unexpected", log_line::severity::Warning}.with("peer", peer);
     }
 }
 
-void work_controller::welcome(const std::string &peer, const messages::peer_hello &hello,
-                              time_point now)
+void work_controller::handleHello(const std::string &peer, const messages::peer_hello &hello,
+                                  time_point now)
 {
     // Followers record these too: a new leader sends admission requests before the next hellos.
     if (hello.asks_admission()) {
@@ -111,14 +111,14 @@
         unregisterCaller(*dispatch, peer);
     }
     // A leader does not relay its own orders: its processor time is needed for scheduling.
-    const bool isOwn = hello.name() == settings.name;
-    if (hello.carries_orders() && !isOwn) {
-        relay.registerRelay(peer, {hello.failure_domain(), hello.process(), hello.link_mbps()},
-                            now);
+    const bool isSelf = hello.name() == settings.name;
+    if (hello.carries_orders() && !isSelf) {
+        router.registerRelay(peer, {hello.failure_domain(), hello.process(), hello.link_mbps()},
+                             now);
     } else {
-        relay.unregisterRelay(peer);
+        router.unregisterRelay(peer);
     }
-    peersHeardAt[peer] = now;
+    lastHelloByPeer[peer] = now;
     sendWelcome(peer, now);
 }
 
@@ -126,19 +126,19 @@
 {
     messages::work_envelope envelope;
     envelope.set_from(settings.name);
-    auto *answer = envelope.mutable_welcome();
+    auto *welcome = envelope.mutable_welcome();
     const auto &view = log.state();
     for (const auto &member : view.membership.members()) {
-        *answer->add_members() = member;
+        *welcome->add_members() = member;
     }
-    const bool leads = dispatch && log.isServing(now);
-    const auto *leader = leads ? nullptr : findMember(view.membership, view.leader);
-    if (leads) {
-        answer->set_leader(view.self);
-        answer->set_leader_address(settings.address);
+    const bool isServing = dispatch && log.isServing(now);
+    const auto *leader = isServing ? nullptr : findMember(view.membership, view.leader);
+    if (isServing) {
+        welcome->set_leader(view.self);
+        welcome->set_leader_address(settings.address);
     } else if (leader != nullptr && view.leader != view.self) {
-        answer->set_leader(view.leader);
-        answer->set_leader_address(leader->address());
+        welcome->set_leader(view.leader);
+        welcome->set_leader_address(leader->address());
     }
     hooks.sendToPeer(peer, envelope);
 }
@@ -148,36 +148,37 @@
 */
 void work_controller::announceLeadership(time_point now)
 {
-    std::erase_if(peersHeardAt, [&](const auto &each) { return now - each.second >= peerSpan; });
-    for (const auto &[peer, lastContactAt] : peersHeardAt) {
+    std::erase_if(lastHelloByPeer,
+                  [&](const auto &entry) { return now - entry.second >= peerTimeout; });
+    for (const auto &[peer, lastContactAt] : lastHelloByPeer) {
         sendWelcome(peer, now);
     }
 }
 
-void work_controller::answer(const reply_to &to, messages::work_answer &&what)
+void work_controller::answer(const answer_address &to, messages::work_answer &&message)
 {
     if (to.exchange == 0) {
         return;
     }
-    metrics.countAnswer(answerName(what.kind()));
+    metrics.countAnswer(answerName(message.kind()));
     messages::work_envelope envelope;
     envelope.set_exchange(to.exchange);
     envelope.set_from(settings.name);
-    *envelope.mutable_answer() = std::move(what);
+    *envelope.mutable_answer() = std::move(message);
     hooks.sendToPeer(to.peer, envelope);
 }
 
-void work_controller::answerKind(const reply_to &to, messages::work_answer_kind kind,
+void work_controller::answerKind(const answer_address &to, messages::work_answer_kind kind,
                                  const std::string &detail, std::int64_t number)
 {
-    messages::work_answer what;
-    what.set_kind(kind);
-    what.set_detail(detail);
-    what.set_number(number);
-    answer(to, std::move(what));
+    messages::work_answer message;
+    message.set_kind(kind);
+    message.set_detail(detail);
+    message.set_number(number);
+    answer(to, std::move(message));
 }
 
-void work_controller::propose(messages::work_command &&command, const reply_to &to)
+void work_controller::propose(messages::work_command &&command, const answer_address &to)
 {
     pending.push_back({std::move(command), to});
 }
@@ -195,10 +196,10 @@
     }
     messages::work_batch batch;
     batch.set_wall_ms(wallMs);
-    std::vector<reply_to> replies;
-    for (auto &each : std::exchange(pending, {})) {
-        *batch.add_commands() = std::move(each.command);
-        replies.push_back(std::move(each.replyTo));
+    std::vector<answer_address> replies;
+    for (auto &command : std::exchange(pending, {})) {
+        *batch.add_commands() = std::move(command.command);
+        replies.push_back(std::move(command.replyTo));
     }
     std::uint64_t index = 0;
     if (const auto error = log.propose(batch.SerializeAsString(), now, &index)) {
@@ -220,26 +221,27 @@
     messages::work_batch batch;
     FILBERT_INVARIANT(batch.ParseFromString(entry.payload()),
                       "a committed log entry can be parsed");
-    const auto waiting = inFlight.extract(entry.index());
-    if (!waiting.empty()) {
-        metrics.observeCommit(flushNow - waiting.mapped().proposedAt);
+    const auto proposed = inFlight.extract(entry.index());
+    if (!proposed.empty()) {
+        metrics.observeCommit(flushTime - proposed.mapped().proposedAt);
     }
     for (int i = 0; i < batch.commands_size(); ++i) {
         const auto &command = batch.commands(i);
         const auto outcome = applyCommand(state, command, batch.wall_ms());
         metrics.countCommand(commandName(command));
-        const bool isOwn = !waiting.empty() && entry.term() == log.state().term;
-        afterApplied(command, outcome,
-                     isOwn ? waiting.mapped().replies[static_cast<std::size_t>(i)] : reply_to {});
+        const bool isOwnEntry = !proposed.empty() && entry.term() == log.state().term;
+        handleAppliedCommand(command, outcome,
+                             isOwnEntry ? proposed.mapped().replies[static_cast<std::size_t>(i)]
+                                        : answer_address {});
     }
 }
 
-void work_controller::afterApplied(const messages::work_command &command,
-                                   const command_outcome &outcome, const reply_to &to)
+void work_controller::handleAppliedCommand(const messages::work_command &command,
+                                           const command_outcome &outcome, const answer_address &to)
 {
     const bool isRefused = outcome.error != error_kind::None;
     if (dispatch) {
-        handleCommittedCommand(*dispatch, command, isRefused, flushNow);
+        handleCommittedCommand(*dispatch, command, isRefused, flushTime);
     }
     using body = messages::work_command::BodyCase;
     switch (command.body_case()) {
@@ -291,20 +293,20 @@
 void work_controller::tick(time_point now)
 {
     log.tick(now);
-    relay.tick(now);
+    router.tick(now);
     if (isStopping) {
         log.transferLeadership(now);
     }
     if (dispatch && log.isServing(now)) {
-        reviewMembership(now);
+        updateMembership(now);
     }
     const auto &view = log.state();
-    const bool isIn = findMember(view.membership, view.self) != nullptr;
+    const bool isMember = findMember(view.membership, view.self) != nullptr;
     const bool hasLeader = !view.leader.empty();
-    if ((isIn && hasLeader) || isStopping || now < joinAt) {
+    if ((isMember && hasLeader) || isStopping || now < nextJoinAt) {
         return;
     }
-    joinAt = now + settings.joinPeriod;
+    nextJoinAt = now + settings.joinPeriod;
     messages::work_envelope envelope;
     envelope.set_from(view.self);
     auto *self = envelope.mutable_join()->mutable_self();
@@ -324,41 +326,41 @@
 {
     const auto &members = log.state().membership.members();
     return static_cast<int>(std::count_if(members.begin(), members.end(),
-                                          [](const auto &each) { return !each.learner(); }));
+                                          [](const auto &member) { return !member.learner(); }));
 }
 
-void work_controller::reviewMembership(time_point now)
+void work_controller::updateMembership(time_point now)
 {
     membership_view view;
     view.membership = &log.state().membership;
     view.self = log.state().self;
     view.leadingSince = leadingSince;
-    for (const auto &[identity, candidate] : candidates) {
-        view.pendingJoins.push_back(candidate);
+    for (const auto &[identity, join] : pendingJoins) {
+        view.pendingJoins.push_back(join);
     }
     for (const auto &member : view.membership->members()) {
         view.lastContactAt[member.identity()] = log.lastContactWith(member.identity());
     }
-    const auto step = nextMembershipChange(view, settings.formation, now);
-    if (!step) {
+    const auto change = nextMembershipChange(view, settings.formation, now);
+    if (!change) {
         return;
     }
-    if (log.proposeMembershipChange(step->add, step->member, now)) {
+    if (log.proposeMembershipChange(change->add, change->member, now)) {
         return; // another change is in progress; the next call decides again
     }
-    candidates.erase(step->member.identity());
+    pendingJoins.erase(change->member.identity());
     log_line {"membership_change"}
-        .with("add", step->add)
-        .with("identity", step->member.identity())
-        .with("address", step->member.address())
+        .with("add", change->add)
+        .with("identity", change->member.identity())
+        .with("address", change->member.address())
         .with("members", log.state().membership.members_size())
-        .with("reason", step->reason);
+        .with("reason", change->reason);
 }
 
-void work_controller::turnAwayAll()
+void work_controller::rejectPendingRequests()
 {
-    for (const auto &each : std::exchange(pending, {})) {
-        answerKind(each.replyTo, messages::ANSWER_NO_LEADER);
+    for (const auto &command : std::exchange(pending, {})) {
+        answerKind(command.replyTo, messages::ANSWER_NO_LEADER);
     }
     for (const auto &[index, batch] : std::exchange(inFlight, {})) {
         for (const auto &to : batch.replies) {
@@ -367,7 +369,7 @@
     }
 }
 
-void work_controller::reviewLeadership(time_point now, std::int64_t wallMs)
+void work_controller::updateLeadership(time_point now, std::int64_t wallMs)
 {
     const auto &view = log.state();
     if (dispatch && (view.role != replica_role::Leader || dispatch->term != view.term)) {
@@ -375,12 +377,12 @@
         dispatch.reset();
     }
     if (view.role != replica_role::Leader) {
-        turnAwayAll();
+        rejectPendingRequests();
         return;
     }
     if (!dispatch && log.hasAppliedAll() && !isStopping && hasLease(view, now)) {
-        turnAwayAll();
-        relay.startTerm(now);
+        rejectPendingRequests();
+        router.startTerm(now);
         dispatch = startDispatch(state, settings.dispatch, view.term, now, wallMs);
         for (const auto &[name, caller] : policyCallers) {
             registerCaller(*dispatch, name, caller.process, caller.lastContactAt);
@@ -412,13 +414,13 @@
         return;
     }
     for (const auto &order : std::exchange(dispatch->effects.orders, {})) {
-        const auto life = state.targets.find(order.target);
-        const auto domain = life == state.targets.end()
+        const auto target = state.targets.find(order.target);
+        const auto failureDomain = target == state.targets.end()
             ? std::string {}
-            : life->second.registration.failure_domain();
-        relay.send(order, dispatch->targets.size(), domain, now);
+            : target->second.registration.failure_domain();
+        router.send(order, dispatch->targets.size(), failureDomain, now);
     }
-    relay.flush(now);
+    router.flush(now);
     for (const auto &call : std::exchange(dispatch->effects.admissions, {})) {
         messages::work_envelope envelope;
         envelope.set_from(settings.name);
@@ -429,9 +431,9 @@
 
 std::error_code work_controller::flush(time_point now, std::int64_t wallMs)
 {
-    flushNow = now;
+    flushTime = now;
     log.tick(now); // sends heartbeats on time even when a turn takes long
-    reviewLeadership(now, wallMs);
+    updateLeadership(now, wallMs);
     if (dispatch && log.isServing(now)) {
         tickDispatch(*dispatch, now, wallMs);
     }
@@ -439,7 +441,7 @@
     if (const auto error = log.flush(now)) {
         return error;
     }
-    reviewLeadership(now, wallMs);
+    updateLeadership(now, wallMs);
     sendEffects(monotonicNow());
     return {};
 }
--- a/modules/filbert_node/work_controller.h
+++ b/modules/filbert_node/work_controller.h
@@ -2,7 +2,7 @@
 
 #include "filbert_dispatch/filbert_dispatch.h"
 #include "filbert_replication/filbert_replication.h"
-#include "order_relay.h"
+#include "order_router.h"
 #include "work_metrics.h"
 
 #include <functional>
@@ -85,40 +85,42 @@
     const log_member &member() const { return log; }
 
 private:
-    struct reply_to
+    struct answer_address
     {
         std::string peer;
         std::uint64_t exchange = 0; // id of the request; 0 = no answer is expected
     };
 
-    void handleRequest(const reply_to &from, const messages::work_request &request, time_point now,
+    void handleRequest(const answer_address &from, const messages::work_request &request,
+                       time_point now, std::int64_t wallMs);
+    void handleJobCall(const answer_address &from, const messages::job_call &call,
                        std::int64_t wallMs);
-    void takeJobCall(const reply_to &from, const messages::job_call &call, std::int64_t wallMs);
-    void handleSubmission(const reply_to &from, const messages::job_call &call,
+    void handleSubmission(const answer_address &from, const messages::job_call &call,
                           const messages::work_queue &queue, const std::string &team,
                           const std::string &id, std::int64_t wallMs);
-    void takeConfiguration(const reply_to &from, const messages::work_configuration &document);
-    void welcome(const std::string &peer, const messages::peer_hello &hello, time_point now);
+    void handleConfiguration(const answer_address &from,
+                             const messages::work_configuration &document);
+    void handleHello(const std::string &peer, const messages::peer_hello &hello, time_point now);
     void sendWelcome(const std::string &peer, time_point now);
     void announceLeadership(time_point now);
-    void answer(const reply_to &to, messages::work_answer &&what);
-    void answerKind(const reply_to &to, messages::work_answer_kind kind,
+    void answer(const answer_address &to, messages::work_answer &&message);
+    void answerKind(const answer_address &to, messages::work_answer_kind kind,
                     const std::string &detail = {}, std::int64_t number = 0);
-    void propose(messages::work_command &&command, const reply_to &to);
+    void propose(messages::work_command &&command, const answer_address &to);
     void proposePending(time_point now, std::int64_t wallMs);
     void applyEntry(const messages::log_entry &entry);
-    void afterApplied(const messages::work_command &command, const command_outcome &outcome,
-                      const reply_to &to);
-    void reviewLeadership(time_point now, std::int64_t wallMs);
-    void reviewMembership(time_point now);
+    void handleAppliedCommand(const messages::work_command &command, const command_outcome &outcome,
+                              const answer_address &to);
+    void updateLeadership(time_point now, std::int64_t wallMs);
+    void updateMembership(time_point now);
     void sendEffects(time_point now);
-    void turnAwayAll();
+    void rejectPendingRequests();
     int countVoters() const;
 
     struct pending_command
     {
         messages::work_command command;
-        reply_to replyTo;
+        answer_address replyTo;
     };
 
     /** A process that can call the policy service. Followers keep these for their next term. */
@@ -128,9 +130,9 @@
         time_point lastContactAt;
     };
 
-    struct open_batch
+    struct proposed_batch
     {
-        std::vector<reply_to> replies;
+        std::vector<answer_address> replies;
         time_point proposedAt;
     };
 
@@ -141,14 +143,14 @@
     log_member log;
     std::optional<dispatch_state> dispatch; // while leading
     std::vector<pending_command> pending;
-    std::map<std::uint64_t, open_batch> inFlight; // proposed, not applied yet; by log index
-    std::map<std::string, pending_join> candidates; // for membership; by identity
+    std::map<std::uint64_t, proposed_batch> inFlight; // proposed, not applied yet; by log index
+    std::map<std::string, pending_join> pendingJoins; // for membership; by identity
     std::map<std::string, policy_caller> policyCallers; // by name
-    std::map<std::string, time_point> peersHeardAt; // last hello, by name of the process
+    std::map<std::string, time_point> lastHelloByPeer; // last hello, by name of the process
     time_point leadingSince;
-    time_point joinAt;
-    time_point flushNow; // time of the current flush(), for the hooks of `log`
-    order_router relay;
+    time_point nextJoinAt;
+    time_point flushTime; // time of the current flush(), for the hooks of `log`
+    order_router router;
     bool isStopping = false;
 };
 
--- a/modules/filbert_node/work_metrics.cpp
+++ b/modules/filbert_node/work_metrics.cpp
@@ -10,9 +10,9 @@
     0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 10};
 constexpr double secondsPerMillisecond = 0.001;
 
-double secondsOf(milliseconds span)
+double secondsOf(milliseconds duration)
 {
-    return static_cast<double>(span.count) * secondsPerMillisecond;
+    return static_cast<double>(duration.count) * secondsPerMillisecond;
 }
 
 prometheus::Family<prometheus::Counter> &
@@ -39,8 +39,8 @@
                             "Orders to targets, by kind and result")}
     , orderSeconds {histogramFamily(*registry, "filbert_work_order_seconds",
                                     "Time from an order to its answer, by kind")}
-    , elections {counterFamily(*registry, "filbert_work_terms_led_total", "Terms that it has led")
-                     .Add({})}
+    , termsLed {counterFamily(*registry, "filbert_work_terms_led_total", "Terms that it has led")
+                    .Add({})}
     , commitSeconds {histogramFamily(*registry, "filbert_work_commit_seconds",
                                      "Time from a proposal to its commands being applied")
                          .Add({}, secondsBuckets)}
@@ -51,16 +51,16 @@
 {
 }
 
-void work_metrics::observeCommit(milliseconds took)
+void work_metrics::observeCommit(milliseconds duration)
 {
-    commitSeconds.Observe(secondsOf(took));
+    commitSeconds.Observe(secondsOf(duration));
 }
 
 void work_metrics::observeOrder(const std::string &kind, const std::string &result,
-                                milliseconds took)
+                                milliseconds duration)
 {
     orders.Add({{"kind", kind}, {"result", result}}).Increment();
-    orderSeconds.Add({{"kind", kind}}, secondsBuckets).Observe(secondsOf(took));
+    orderSeconds.Add({{"kind", kind}}, secondsBuckets).Observe(secondsOf(duration));
 }
 
 void work_metrics::setState(bool isLeading, std::uint64_t applied, int members, std::size_t jobs)
@@ -80,17 +80,17 @@
     : registry {std::make_shared<prometheus::Registry>()}
     , answers {histogramFamily(*registry, "filbert_entry_answer_seconds",
                                "Time from a whole request to its answer, by status")}
-    , openRequests {prometheus::BuildGauge()
-                        .Name("filbert_entry_open_requests")
-                        .Help("Requests that wait for the leader's answer")
-                        .Register(*registry)
-                        .Add({})}
+    , pendingRequests {prometheus::BuildGauge()
+                           .Name("filbert_entry_open_requests")
+                           .Help("Requests that wait for the leader's answer")
+                           .Register(*registry)
+                           .Add({})}
 {
 }
 
-void entry_metrics::observeAnswer(int status, milliseconds took)
+void entry_metrics::observeAnswer(int status, milliseconds duration)
 {
-    answers.Add({{"status", std::to_string(status)}}, secondsBuckets).Observe(secondsOf(took));
+    answers.Add({{"status", std::to_string(status)}}, secondsBuckets).Observe(secondsOf(duration));
 }
 
 std::string entry_metrics::text() const
--- a/modules/filbert_node/work_metrics.h
+++ b/modules/filbert_node/work_metrics.h
@@ -20,15 +20,15 @@
 
     void countCommand(const std::string &kind) { commands.Add({{"kind", kind}}).Increment(); }
     void countAnswer(const std::string &kind) { answers.Add({{"kind", kind}}).Increment(); }
-    void countTermLed() { elections.Increment(); }
+    void countTermLed() { termsLed.Increment(); }
 
-    /** Records that a batch of commands was applied. @param took time since it was proposed */
-    void observeCommit(milliseconds took);
+    /** Records that a batch of commands was applied. @param duration  time since it was proposed */
+    void observeCommit(milliseconds duration);
 
     /** Records the end of an order, with or without a target's answer.
-        @param took  time since the order was sent
+        @param duration  time since the order was sent
     */
-    void observeOrder(const std::string &kind, const std::string &result, milliseconds took);
+    void observeOrder(const std::string &kind, const std::string &result, milliseconds duration);
 
     /** Sets the gauges. @param applied last log index that was applied */
     void setState(bool isLeading, std::uint64_t applied, int members, std::size_t jobs);
@@ -42,7 +42,7 @@
     prometheus::Family<prometheus::Counter> &answers;
     prometheus::Family<prometheus::Counter> &orders;
     prometheus::Family<prometheus::Histogram> &orderSeconds;
-    prometheus::Counter &elections;
+    prometheus::Counter &termsLed;
     prometheus::Histogram &commitSeconds;
     prometheus::Family<prometheus::Gauge> &state;
 };
@@ -54,12 +54,12 @@
     entry_metrics();
 
     /** Records an answer to a client.
-        @param status  HTTP status
-        @param took    time from the complete request to its answer
+        @param status    HTTP status
+        @param duration  time from the complete request to its answer
     */
-    void observeAnswer(int status, milliseconds took);
+    void observeAnswer(int status, milliseconds duration);
 
-    void setOpenRequests(std::size_t count) { openRequests.Set(static_cast<double>(count)); }
+    void setOpenRequests(std::size_t count) { pendingRequests.Set(static_cast<double>(count)); }
 
     /** @return all metrics in Prometheus' text format */
     std::string text() const;
@@ -67,7 +67,7 @@
 private:
     std::shared_ptr<prometheus::Registry> registry;
     prometheus::Family<prometheus::Histogram> &answers;
-    prometheus::Gauge &openRequests;
+    prometheus::Gauge &pendingRequests;
 };
 
 } // namespace filbert
--- a/modules/filbert_node/work_requests.cpp
+++ b/modules/filbert_node/work_requests.cpp
@@ -7,20 +7,21 @@
 
 namespace {
 
-constexpr std::size_t idLength = 16; // hexadecimal digits of a job id
-constexpr milliseconds retryWhileForming {500}; // forming a cell takes about a second
+constexpr std::size_t jobIdLength = 16; // hexadecimal digits of a job id
+constexpr milliseconds formationRetryDelay {500}; // forming a cell takes about a second
 
 bool isJobId(std::string_view text)
 {
-    return text.size() == idLength && std::all_of(text.begin(), text.end(), [](char c) {
+    return text.size() == jobIdLength && std::all_of(text.begin(), text.end(), [](char c) {
                return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F');
            });
 }
 
 } // namespace
 
-void work_controller::handleRequest(const reply_to &from, const messages::work_request &request,
-                                    time_point now, std::int64_t wallMs)
+void work_controller::handleRequest(const answer_address &from,
+                                    const messages::work_request &request, time_point now,
+                                    std::int64_t wallMs)
 {
     if (!dispatch || isStopping || !log.isServing(now)) {
         answerKind(from, messages::ANSWER_NO_LEADER);
@@ -29,16 +30,16 @@
     using body = messages::work_request::BodyCase;
     switch (request.body_case()) {
     case body::kJob:
-        takeJobCall(from, request.job(), wallMs);
+        handleJobCall(from, request.job(), wallMs);
         break;
     case body::kReport: {
-        const auto known = dispatch->effects.commands.size();
+        const auto commandCount = dispatch->effects.commands.size();
         if (!handleTargetReport(*dispatch, request.report(), now)) {
             answerKind(from, messages::ANSWER_OK);
             break;
         }
-        auto command = std::move(dispatch->effects.commands[known]);
-        dispatch->effects.commands.resize(known);
+        auto command = std::move(dispatch->effects.commands[commandCount]);
+        dispatch->effects.commands.resize(commandCount);
         propose(std::move(command), from);
         break;
     }
@@ -47,15 +48,15 @@
         answerKind(from, messages::ANSWER_OK);
         break;
     case body::kConfigure:
-        takeConfiguration(from, request.configure());
+        handleConfiguration(from, request.configure());
         break;
     case body::kReadConfiguration: {
-        messages::work_answer what;
-        const bool isKnown = state.configuration.version() > 0;
-        what.set_kind(isKnown ? messages::ANSWER_DOCUMENT : messages::ANSWER_NOT_NOW);
-        what.set_document(state.configuration.document());
-        what.set_number(isKnown ? 0 : retryWhileForming.count);
-        answer(from, std::move(what));
+        messages::work_answer message;
+        const bool hasConfiguration = state.configuration.version() > 0;
+        message.set_kind(hasConfiguration ? messages::ANSWER_DOCUMENT : messages::ANSWER_NOT_NOW);
+        message.set_document(state.configuration.document());
+        message.set_number(hasConfiguration ? 0 : formationRetryDelay.count);
+        answer(from, std::move(message));
         break;
     }
     case body::BODY_NOT_SET:
@@ -64,13 +65,13 @@
     }
 }
 
-void work_controller::takeJobCall(const reply_to &from, const messages::job_call &call,
-                                  std::int64_t wallMs)
+void work_controller::handleJobCall(const answer_address &from, const messages::job_call &call,
+                                    std::int64_t wallMs)
 {
     const auto &configuration = state.configuration;
     if (configuration.version() == 0) {
         answerKind(from, messages::ANSWER_NOT_NOW, "the cell has no configuration yet",
-                   retryWhileForming.count);
+                   formationRetryDelay.count);
         return;
     }
     const auto *queue = findQueueByPath(configuration, call.host(), call.path());
@@ -96,20 +97,20 @@
         return;
     }
     const auto job = state.jobs.find(id);
-    const bool isOwn = job != state.jobs.end() && job->second.job.queue() == queue->name()
+    const bool isVisible = job != state.jobs.end() && job->second.job.queue() == queue->name()
         && (queue->is_open() || job->second.job.team() == teamName);
     if (call.kind() == messages::JOB_STATE) {
-        messages::work_answer what;
-        what.set_kind(isOwn ? messages::ANSWER_STATE : messages::ANSWER_NO_JOB);
-        what.set_name(isOwn ? std::string {statusName(job->second.status)} : std::string {});
-        answer(from, std::move(what));
+        messages::work_answer message;
+        message.set_kind(isVisible ? messages::ANSWER_STATE : messages::ANSWER_NO_JOB);
+        message.set_name(isVisible ? std::string {statusName(job->second.status)} : std::string {});
+        answer(from, std::move(message));
         return;
     }
-    const bool isBeingAccepted =
+    const bool mayBePending =
         std::any_of(pending.begin(), pending.end(),
-                    [&](const auto &each) { return each.command.accept().id() == id; })
+                    [&](const auto &entry) { return entry.command.accept().id() == id; })
         || !inFlight.empty();
-    if (!isOwn && !isBeingAccepted) {
+    if (!isVisible && !mayBePending) {
         answerKind(from, messages::ANSWER_NO_JOB);
         return;
     }
@@ -118,7 +119,7 @@
     propose(std::move(command), from);
 }
 
-void work_controller::handleSubmission(const reply_to &from, const messages::job_call &call,
+void work_controller::handleSubmission(const answer_address &from, const messages::job_call &call,
                                        const messages::work_queue &queue, const std::string &team,
                                        const std::string &id, std::int64_t wallMs)
 {
@@ -149,8 +150,8 @@
     propose(std::move(command), from);
 }
 
-void work_controller::takeConfiguration(const reply_to &from,
-                                        const messages::work_configuration &document)
+void work_controller::handleConfiguration(const answer_address &from,
+                                          const messages::work_configuration &document)
 {
     if (const auto problem = findProblem(document)) {
         log_line {"configuration_refused"}
@@ -167,7 +168,7 @@
     if (state.configuration.version() == 0
         && countVoters() < desiredVoterCount(settings.formation)) {
         answerKind(from, messages::ANSWER_NOT_NOW, "too few controllers have joined yet",
-                   retryWhileForming.count);
+                   formationRetryDelay.count);
         return;
     }
     messages::work_command command;
