--- a/modules/filbert_controller/commit_effects.cpp
+++ b/modules/filbert_controller/commit_effects.cpp
@@ -1,7 +1,7 @@
 #include "commit_effects.h"
 
 #include "leadership.h"
-#include "work_intake.h"
+#include "work_requests.h"
 
 #include <algorithm>
 
@@ -87,10 +87,10 @@
 }
 
 void answerDispatch(controller_state &state, const messages::placement &place,
-                    const apply_outcome &outcome, const pending_dispatch &open)
+                    const apply_outcome &outcome, const pending_dispatch &dispatch)
 {
     if (outcome.error != error_kind::None) {
-        refuse(state, open.replyTo, outcome.error, outcome.detail);
+        refuse(state, dispatch.replyTo, outcome.error, outcome.detail);
         return;
     }
     messages::envelope envelope;
@@ -100,7 +100,7 @@
     answer->set_address(state.cell.targets.at(place.target()).registration.address());
     answer->set_target_epoch(place.target_epoch());
     answer->set_start_by(place.start_by());
-    reply(state, open.replyTo, std::move(envelope));
+    reply(state, dispatch.replyTo, std::move(envelope));
 }
 
 void afterPlacement(controller_state &state, const messages::placement &place,
@@ -110,19 +110,20 @@
     if (isRefused) {
         releaseTask(state.scheduler, place.id(), now);
     }
-    if (const auto found = state.dispatchOfPlacement.find(place.id());
-        found != state.dispatchOfPlacement.end()) {
-        const auto open = state.dispatches.extract(found->second).mapped();
-        state.dispatchOfPlacement.erase(found);
-        const bool mayWaitOn = outcome.error == error_kind::NoCapacity && now < open.deadline;
-        if (mayWaitOn) {
+    if (const auto found = state.dispatchByPlacement.find(place.id());
+        found != state.dispatchByPlacement.end()) {
+        const auto dispatch = state.dispatches.extract(found->second).mapped();
+        state.dispatchByPlacement.erase(found);
+        const bool canKeepWaiting =
+            outcome.error == error_kind::NoCapacity && now < dispatch.deadline;
+        if (canKeepWaiting) {
             // The target changed between the decision and its commit. Another target may have free
             // capacity.
-            auto again = open.request;
-            again.set_wait_ms((open.deadline - now).count);
-            handleDispatch(state, open.replyTo, again, now);
+            auto retry = dispatch.request;
+            retry.set_wait_ms((dispatch.deadline - now).count);
+            handleDispatch(state, dispatch.replyTo, retry, now);
         } else {
-            answerDispatch(state, place, outcome, open);
+            answerDispatch(state, place, outcome, dispatch);
         }
         return;
     }
@@ -147,7 +148,7 @@
 /** Notifies all gateways, any of which may wait for this synchronous request, that no answer will
     come.
 */
-void noticeGateways(controller_state &state, const ended_placement &ended)
+void notifyGateways(controller_state &state, const ended_placement &ended)
 {
     for (const auto &[name, gateway] : state.gateways) {
         messages::envelope envelope;
@@ -163,10 +164,10 @@
     for (const auto &ended : outcome.ended) {
         const auto &placement = ended.placement;
         if (placement.jobId == 0 && to.exchange == 0) {
-            noticeGateways(state, ended);
+            notifyGateways(state, ended);
         }
         state.proposedEnds.erase(placement.id);
-        state.stopping.erase(placement.id);
+        state.stoppingPlacements.erase(placement.id);
         state.throttledSince.erase(placement.id);
         if (ended.result == messages::SUCCEEDED || ended.result == messages::FAILED) {
             recordTaskResult(state.scheduler, placement.id, ended.result == messages::SUCCEEDED,
@@ -190,7 +191,7 @@
     }
 }
 
-void requeueJob(controller_state &state, std::uint64_t id, time_point now)
+void enqueueWaitingTasks(controller_state &state, std::uint64_t id, time_point now)
 {
     const auto &job = state.cell.jobs.at(id);
     for (std::size_t i = 0; i < job.tasks.size(); ++i) {
@@ -222,7 +223,7 @@
         return;
     }
     if (!outcome.isDuplicate) {
-        requeueJob(state, outcome.jobId, now);
+        enqueueWaitingTasks(state, outcome.jobId, now);
     }
     answerJob(state, outcome, to);
 }
@@ -236,7 +237,7 @@
     }
     removeWork(state.scheduler, change.id());
     if (change.action() == messages::RELEASE) {
-        requeueJob(state, change.id(), now);
+        enqueueWaitingTasks(state, change.id(), now);
     }
     answerJob(state, outcome, to);
 }
--- a/modules/filbert_controller/controller.cpp
+++ b/modules/filbert_controller/controller.cpp
@@ -4,7 +4,7 @@
 #include "leadership.h"
 #include "operations.h"
 #include "target_leases.h"
-#include "work_intake.h"
+#include "work_requests.h"
 
 #include <utility>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t commandsPerEntry = 2'000;
+constexpr std::size_t maxCommandsPerEntry = 2'000;
 constexpr std::size_t expectedRecordBytes = 256;
 
 bool needsLeader(const messages::envelope &envelope)
@@ -107,7 +107,7 @@
     if (state.isStopping) {
         redirectWaitingRequests(state);
     }
-    if (state.isStopping && isQuiet() && !state.log.transferDeadline) {
+    if (state.isStopping && isIdle() && !state.log.transferDeadline) {
         startLeadershipTransfer(state.log, now, &state.effects);
     }
     if (state.isLeading && hasLease(state.log, now)) {
@@ -116,7 +116,7 @@
     }
 }
 
-void controller::takeLeadership(time_point now)
+void controller::updateLeadership(time_point now)
 {
     if (state.isLeading && state.log.role != replica_role::Leader) {
         stopLeading(state);
@@ -139,14 +139,15 @@
     if (hasLease(state.log, now) && !state.isStopping) {
         runScheduler(state, now);
     }
-    std::size_t taken = 0;
-    while (taken < state.pending.size()) {
+    std::size_t proposed = 0;
+    while (proposed < state.pending.size()) {
         messages::command_batch batch;
         batch.set_wall_ms(wallMs);
         std::vector<reply_address> replies;
-        for (; taken < state.pending.size() && replies.size() < commandsPerEntry; ++taken) {
-            *batch.add_commands() = std::move(state.pending[taken].command);
-            replies.push_back(state.pending[taken].replyTo);
+        for (; proposed < state.pending.size() && replies.size() < maxCommandsPerEntry;
+             ++proposed) {
+            *batch.add_commands() = std::move(state.pending[proposed].command);
+            replies.push_back(state.pending[proposed].replyTo);
         }
         if (propose(state.log, {batch.SerializeAsString()}, now, &state.effects)) {
             // The batch was neither queued nor sent, but the scheduler holds reservations for it:
@@ -169,7 +170,7 @@
     }
 }
 
-void controller::install()
+void controller::installSnapshot()
 {
     state.effects.mustInstall = false;
     FILBERT_INVARIANT(!restoreCell(*state.log.snapshotData, &state.cell),
@@ -203,10 +204,10 @@
 
 std::error_code controller::continueSnapshot()
 {
-    std::string part;
-    const bool isLast = readSnapshotChunk(state.cell, state.settings.snapshotChunkRecords, &part);
-    snapshot->data += part;
-    if (const auto error = store.addSnapshotChunk(part)) {
+    std::string chunk;
+    const bool isLast = readSnapshotChunk(state.cell, state.settings.snapshotChunkRecords, &chunk);
+    snapshot->data += chunk;
+    if (const auto error = store.addSnapshotChunk(chunk)) {
         return error;
     }
     if (!isLast) {
@@ -223,9 +224,9 @@
 
 std::error_code controller::compact(time_point now)
 {
-    const auto since = state.log.appliedIndex - state.log.snapshot.index();
-    const bool isDue = since > 0 && now >= snapshotNotBefore
-        && (since >= state.settings.snapshotEntries
+    const auto entriesSince = state.log.appliedIndex - state.log.snapshot.index();
+    const bool isDue = entriesSince > 0 && now >= earliestSnapshotAt
+        && (entriesSince >= state.settings.snapshotEntries
             || store.logBytes() >= state.settings.snapshotBytes);
     if (!snapshot && !isDue) {
         return {};
@@ -233,7 +234,7 @@
     const auto error = snapshot ? continueSnapshot() : startSnapshot();
     if (error == error_kind::DiskFull) {
         snapshot.reset();
-        snapshotNotBefore = now + state.settings.snapshotRetryDelay;
+        earliestSnapshotAt = now + state.settings.snapshotRetryDelay;
         return {};
     }
     return error;
@@ -241,7 +242,7 @@
 
 std::error_code controller::flush(time_point now, std::int64_t wallMs)
 {
-    takeLeadership(now);
+    updateLeadership(now);
     proposePending(now, wallMs);
     auto &effects = state.effects;
     while (effects.mustPersist || effects.mustInstall || !effects.messagesBeforeSync.empty()
@@ -266,18 +267,18 @@
         state.isDiskFull = false;
         sendAll(&effects.messagesAfterSync);
         if (effects.mustInstall) {
-            install();
+            installSnapshot();
         }
         applyCommitted(now);
     }
-    takeLeadership(now);
+    updateLeadership(now);
     for (const auto &message : std::exchange(state.outbox, {})) {
         outbox.sendToGateway(message.gateway, message.envelope);
     }
     return compact(now);
 }
 
-bool controller::isQuiet() const
+bool controller::isIdle() const
 {
     return state.log.role == replica_role::Leader && state.pending.empty() && state.inFlight.empty()
         && state.log.appliedIndex == lastIndex(state.log);
--- a/modules/filbert_controller/controller.h
+++ b/modules/filbert_controller/controller.h
@@ -71,21 +71,21 @@
     void handleRequest(const reply_address &from, const messages::envelope &envelope,
                        time_point now);
     void proposePending(time_point now, std::int64_t wallMs);
-    void takeLeadership(time_point now);
+    void updateLeadership(time_point now);
     void sendAll(std::vector<messages::replication_message> *messages);
-    void install();
+    void installSnapshot();
     void applyCommitted(time_point now);
     std::error_code compact(time_point now);
     std::error_code startSnapshot();
     std::error_code continueSnapshot();
 
-    bool isQuiet() const;
+    bool isIdle() const;
 
     controller_state state;
     log_store &store;
     controller_outbox &outbox;
     std::optional<snapshot_in_progress> snapshot;
-    time_point snapshotNotBefore;
+    time_point earliestSnapshotAt;
 };
 
 } // namespace filbert
--- a/modules/filbert_controller/controller_state.h
+++ b/modules/filbert_controller/controller_state.h
@@ -96,13 +96,13 @@
     // Where the answers to proposed commands go that are not applied yet; by log index.
     std::map<std::uint64_t, std::vector<reply_address>> inFlight;
     std::unordered_map<std::uint64_t, pending_dispatch> dispatches; // by work id
-    std::unordered_map<std::uint64_t, std::uint64_t> dispatchOfPlacement; // work id by placement
+    std::unordered_map<std::uint64_t, std::uint64_t> dispatchByPlacement; // work id by placement
     std::map<std::string, target_liveness> liveness;
     std::map<std::string, gateway_view> gateways;
     std::unordered_set<std::uint64_t> proposedEnds; // placements whose end has been proposed
     std::unordered_map<std::uint64_t, time_point> throttledSince; // since when, by placement
     // Placements that were ordered to stop; answers to heartbeats repeat the order.
-    std::unordered_set<std::uint64_t> stopping;
+    std::unordered_set<std::uint64_t> stoppingPlacements;
     std::uint64_t lastWorkId = 0;
     bool isDiskFull = false;
     bool isStopping = false;
--- a/modules/filbert_controller/leadership.cpp
+++ b/modules/filbert_controller/leadership.cpp
@@ -1,6 +1,6 @@
 #include "leadership.h"
 
-#include "work_intake.h"
+#include "work_requests.h"
 
 #include <algorithm>
 
@@ -23,20 +23,20 @@
 }
 
 /** @return whether the tasks of a job run all or none for its whole time: an idempotent gang */
-bool startsTogether(const controller_state &state, const messages::job_submission &submission)
+bool isIdempotentGang(const controller_state &state, const messages::job_submission &submission)
 {
     const auto *queue = state.cell.configuration.queue(submission.queue());
     return submission.idempotent() && queue != nullptr && queue->policy() == messages::GANG;
 }
 
 /** @return the number of tasks that have not ended */
-std::int32_t countOpen(const task_counts &counts)
+std::int32_t countUnfinished(const task_counts &counts)
 {
     return static_cast<std::int32_t>(counts.byState[static_cast<int>(task_state::Waiting)]
                                      + counts.byState[static_cast<int>(task_state::Running)]);
 }
 
-void takeTargets(controller_state &state, time_point now)
+void restoreTargets(controller_state &state, time_point now)
 {
     for (const auto &[name, target] : state.cell.targets) {
         updateTarget(state.scheduler, targetEntryOf(target), false);
@@ -46,7 +46,7 @@
     }
 }
 
-void takeRunning(controller_state &state, time_point now)
+void restoreRunningTasks(controller_state &state, time_point now)
 {
     for (const auto &[id, placement] : state.cell.placements) {
         running_task task;
@@ -66,7 +66,7 @@
     }
 }
 
-void takeWaiting(controller_state &state, time_point now)
+void restoreWaitingTasks(controller_state &state, time_point now)
 {
     std::vector<std::uint64_t> ids;
     for (const auto &[id, job] : state.cell.jobs) {
@@ -91,12 +91,12 @@
 target_entry targetEntryOf(const target_record &target)
 {
     const auto &registration = target.registration;
-    target_entry view;
-    view.name = registration.name();
-    view.failureDomain = registration.failure_domain();
-    view.capacity = amountsOf(registration.capacity());
-    view.services = {registration.services().begin(), registration.services().end()};
-    return view;
+    target_entry entry;
+    entry.name = registration.name();
+    entry.failureDomain = registration.failure_domain();
+    entry.capacity = amountsOf(registration.capacity());
+    entry.services = {registration.services().begin(), registration.services().end()};
+    return entry;
 }
 
 work_item workItemOf(const controller_state &state, const job_record &job)
@@ -115,19 +115,19 @@
     item.isIdempotent = submission.idempotent();
     const auto *queue = state.cell.configuration.queue(submission.queue());
     item.kind = queue == nullptr ? work_class::Batch : classOf(queue->policy());
-    if (startsTogether(state, submission)) {
-        item.minTasksToStart = countOpen(countTasks(job));
+    if (isIdempotentGang(state, submission)) {
+        item.minTasksToStart = countUnfinished(countTasks(job));
     }
     return item;
 }
 
 void regroupGang(controller_state &state, const job_record &job)
 {
-    if (!startsTogether(state, job.submission)) {
+    if (!isIdempotentGang(state, job.submission)) {
         return; // called for every end of a task, and most belong to other jobs
     }
     const auto counts = countTasks(job);
-    setMinTasksToStart(state.scheduler, job.submission.id(), countOpen(counts));
+    setMinTasksToStart(state.scheduler, job.submission.id(), countUnfinished(counts));
     if (counts.byState[static_cast<int>(task_state::Waiting)] == 0) {
         return;
     }
@@ -165,12 +165,12 @@
     state.liveness.clear();
     state.gateways.clear();
     state.proposedEnds.clear();
-    state.stopping.clear();
+    state.stoppingPlacements.clear();
     state.throttledSince.clear();
     configureScheduler(state);
-    takeTargets(state, now);
-    takeRunning(state, now);
-    takeWaiting(state, now);
+    restoreTargets(state, now);
+    restoreRunningTasks(state, now);
+    restoreWaitingTasks(state, now);
     for (const auto &[id, job] : state.cell.jobs) {
         if (job.endedMs == 0 && !job.isCancelled) {
             regroupGang(state, job);
@@ -188,19 +188,19 @@
     // A gateway sends a request to its target only once the dispatch is answered, so that those
     // without an answer may go to the next leader. If their placements get committed, the targets'
     // heartbeats end them.
-    for (const auto &[ticket, open] : state.dispatches) {
-        redirectToLeader(state, open.replyTo);
+    for (const auto &[workId, dispatch] : state.dispatches) {
+        redirectToLeader(state, dispatch.replyTo);
     }
     state.isLeading = false;
     state.scheduler = {};
     state.pending.clear();
     state.inFlight.clear();
     state.dispatches.clear();
-    state.dispatchOfPlacement.clear();
+    state.dispatchByPlacement.clear();
     state.liveness.clear();
     state.gateways.clear();
     state.proposedEnds.clear();
-    state.stopping.clear();
+    state.stoppingPlacements.clear();
     state.throttledSince.clear();
     log_line {"not_leading"}.with("term", state.log.term).with("leader", state.log.leader);
 }
--- a/modules/filbert_controller/operations.cpp
+++ b/modules/filbert_controller/operations.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr int defaultListed = 100;
-constexpr int mostListed = 10'000;
+constexpr int defaultListLimit = 100;
+constexpr int maxListLimit = 10'000;
 
-int boundedLimit(int asked)
+int boundedLimit(int requested)
 {
-    return asked <= 0 ? defaultListed : std::min(asked, mostListed);
+    return requested <= 0 ? defaultListLimit : std::min(requested, maxListLimit);
 }
 
 /** Adds the items that changed since a version, each with its newest value only.
@@ -39,7 +39,7 @@
     return true;
 }
 
-void addWhole(const cell_state &cell, messages::configuration_grant *grant)
+void addAllItems(const cell_state &cell, messages::configuration_grant *grant)
 {
     for (const auto &[key, value] : cell.configuration.items()) {
         auto *item = grant->add_items();
@@ -60,9 +60,9 @@
             *row->mutable_used() = messageOf(used->second);
             row->set_used_share(dominantShare(used->second, state.scheduler.index.totalCapacity));
         }
-        const auto known = state.scheduler.teams.find(name);
-        if (known != state.scheduler.teams.end()) {
-            const auto &counts = known->second.waitingCount;
+        const auto found = state.scheduler.teams.find(name);
+        if (found != state.scheduler.teams.end()) {
+            const auto &counts = found->second.waitingCount;
             row->set_waiting(static_cast<int>(counts[0] + counts[1] + counts[2]));
         }
     }
@@ -98,7 +98,7 @@
 void addQueues(const controller_state &state, messages::status_reply *answer)
 {
     std::map<std::string, int> waiting;
-    for (const auto &[ticket, item] : state.scheduler.waiting) {
+    for (const auto &[workId, item] : state.scheduler.waiting) {
         ++waiting[item.queue];
     }
     for (const auto &[name, queue] : state.cell.configuration.queues()) {
@@ -135,8 +135,8 @@
     if (state.cell.configuration.version() < version || now - state.leadingSince < lease) {
         return false; // leases that an earlier leader granted may still hold
     }
-    return std::all_of(state.gateways.begin(), state.gateways.end(), [&](const auto &each) {
-        return each.second.version >= version || each.second.leaseExpiresAt <= now;
+    return std::all_of(state.gateways.begin(), state.gateways.end(), [&](const auto &entry) {
+        return entry.second.version >= version || entry.second.leaseExpiresAt <= now;
     });
 }
 
@@ -150,17 +150,17 @@
     auto &gateway = state.gateways[hello.gateway()];
     const auto lease = state.settings.configurationLease;
     const auto &configuration = state.cell.configuration;
-    const bool isSame =
+    const bool isConsistent =
         hello.version() != configuration.version() || hello.digest() == configuration.digest();
     messages::envelope envelope;
     auto *grant = envelope.mutable_grant();
-    if (!isSame || !addDelta(state.cell, hello.version(), grant)) {
-        addWhole(state.cell, grant);
+    if (!isConsistent || !addDelta(state.cell, hello.version(), grant)) {
+        addAllItems(state.cell, grant);
     }
     gateway.version = hello.version();
     gateway.leaseExpiresAt = now + withClockRateMargin(lease);
     std::erase_if(state.gateways,
-                  [&](const auto &each) { return each.second.leaseExpiresAt <= now; });
+                  [&](const auto &entry) { return entry.second.leaseExpiresAt <= now; });
     grant->set_version(configuration.version());
     grant->set_digest(configuration.digest());
     grant->set_lease_ms(lease.count);
@@ -177,19 +177,19 @@
 {
     const auto problems = validateConfiguration(request.next());
     const auto &current = state.cell.configuration;
-    const auto parts = itemsOf(request.next());
-    const auto items = changesBetween(current.items(), parts);
+    const auto items = itemsOf(request.next());
+    const auto changes = changesBetween(current.items(), items);
     messages::command command;
     auto *change = command.mutable_configuration();
     change->set_base_version(request.base_version());
     change->set_request_id(request.request_id());
     change->set_author(request.author());
-    change->set_digest(digestOfItems(parts));
-    change->set_summary(summarizeChanges(items));
+    change->set_digest(digestOfItems(items));
+    change->set_summary(summarizeChanges(changes));
     if (!problems.empty()) {
         change->set_refusal(problems.front().field + ": expected " + problems.front().expected);
     } else {
-        change->mutable_items()->Assign(items.begin(), items.end());
+        change->mutable_items()->Assign(changes.begin(), changes.end());
     }
     proposeCommand(state, std::move(command), from);
 }
@@ -211,8 +211,9 @@
         const auto &audit = state.cell.audit;
         const auto count = std::min<std::size_t>(
             audit.size(), static_cast<std::size_t>(boundedLimit(request.limit())));
-        for (auto at = audit.end() - static_cast<std::ptrdiff_t>(count); at != audit.end(); ++at) {
-            *answer->add_audit() = *at;
+        for (auto record = audit.end() - static_cast<std::ptrdiff_t>(count); record != audit.end();
+             ++record) {
+            *answer->add_audit() = *record;
         }
     } else if (request.what() == "configuration") {
         *answer->mutable_configuration() = configuration.toMessage();
@@ -234,8 +235,8 @@
 {
     const auto &submission = job.submission;
     const auto counts = countTasks(job);
-    const auto count = [&](task_state each) {
-        return static_cast<int>(counts.byState[static_cast<int>(each)]);
+    const auto count = [&](task_state taskState) {
+        return static_cast<int>(counts.byState[static_cast<int>(taskState)]);
     };
     messages::job_status status;
     status.set_id(submission.id());
--- a/modules/filbert_controller/target_leases.cpp
+++ b/modules/filbert_controller/target_leases.cpp
@@ -10,7 +10,7 @@
 
 constexpr int maxTargetServices = 64;
 
-bool isSensible(const messages::target_registration &registration)
+bool isValidRegistration(const messages::target_registration &registration)
 {
     const auto capacity = amountsOf(registration.capacity());
     return !registration.name().empty() && isEndpoint(registration.address())
@@ -35,15 +35,16 @@
 bool isAnswerOverdue(const controller_state &state, const placement_record &placement,
                      const messages::target_heartbeat &heartbeat)
 {
-    const auto span = placement.idempotencyRecordKey.empty() ? 0 : state.settings.targetLease.count;
-    return placement.startBy + span < heartbeat.clock_ms();
+    const auto gracePeriodMs =
+        placement.idempotencyRecordKey.empty() ? 0 : state.settings.targetLease.count;
+    return placement.startBy + gracePeriodMs < heartbeat.clock_ms();
 }
 
 /** Proposes the end of placements that the target does not run any more, each with the result that
     is certain.
 */
-void settlePlacements(controller_state &state, const target_record &target,
-                      const messages::target_heartbeat &heartbeat)
+void reconcilePlacements(controller_state &state, const target_record &target,
+                         const messages::target_heartbeat &heartbeat)
 {
     std::unordered_set<std::uint64_t> reported;
     for (const auto &task : heartbeat.running()) {
@@ -65,17 +66,17 @@
     }
     for (const auto id : target.placements) {
         const auto &placement = state.cell.placements.at(id);
-        const bool isOfEarlierStart = placement.targetEpoch < heartbeat.epoch();
+        const bool isOfEarlierEpoch = placement.targetEpoch < heartbeat.epoch();
         if (reported.contains(id)
-            || (!isOfEarlierStart && placement.startBy >= heartbeat.clock_ms())) {
+            || (!isOfEarlierEpoch && placement.startBy >= heartbeat.clock_ms())) {
             continue;
         }
         messages::placement_end end;
         end.set_placement_id(id);
         // A target reports each task that it ran until that is acknowledged, so this one never
         // started.
-        end.set_result(isOfEarlierStart ? messages::UNKNOWN : messages::NOT_RUN);
-        end.set_reason(isOfEarlierStart ? "the target restarted" : "the start came too late");
+        end.set_result(isOfEarlierEpoch ? messages::UNKNOWN : messages::NOT_RUN);
+        end.set_reason(isOfEarlierEpoch ? "the target restarted" : "the start came too late");
         proposeEnd(state, std::move(end));
     }
 }
@@ -83,8 +84,8 @@
 /** @return whether a target has no placements, neither committed ones nor scheduled ones */
 bool hasNoWork(const controller_state &state, const target_record &target)
 {
-    const auto number = state.scheduler.index.byName.at(target.registration.name());
-    return target.placements.empty() && state.scheduler.runningOnTarget[number].empty();
+    const auto index = state.scheduler.index.byName.at(target.registration.name());
+    return target.placements.empty() && state.scheduler.runningOnTarget[index].empty();
 }
 
 /** Throttles or stops idempotent batch tasks of a target whose tasks use more than its capacity.
@@ -112,9 +113,9 @@
             || !found->second.isIdempotent) {
             continue;
         }
-        const auto since = state.throttledSince.emplace(id, now).first->second;
+        const auto throttledAt = state.throttledSince.emplace(id, now).first->second;
         used -= amountsOf(task.used());
-        if (hasMemory && now - since < state.settings.throttleTimeout) {
+        if (hasMemory && now - throttledAt < state.settings.throttleTimeout) {
             answer->add_throttle(id);
         } else {
             answer->add_stop(id);
@@ -127,7 +128,7 @@
 void handleAnnouncement(controller_state &state, const reply_address &from,
                         const messages::target_registration &registration)
 {
-    if (!isSensible(registration)) {
+    if (!isValidRegistration(registration)) {
         refuse(state, from, error_kind::Malformed,
                "a target needs a name, an address (IP:port), an epoch, services and slots");
         return;
@@ -172,11 +173,11 @@
         live.isLeaving = heartbeat.leaving();
         updateTarget(state.scheduler, targetEntryOf(target), !live.isLeaving);
     }
-    settlePlacements(state, target, heartbeat);
+    reconcilePlacements(state, target, heartbeat);
     for (const auto &task : heartbeat.running()) {
         if (state.cell.placements.contains(task.placement_id())) {
             recordUsage(state.scheduler, task.placement_id(), amountsOf(task.used()));
-            if (state.stopping.contains(task.placement_id())) {
+            if (state.stoppingPlacements.contains(task.placement_id())) {
                 answer->add_stop(task.placement_id());
             }
         } else {
--- a/modules/filbert_controller/work_intake.cpp
+++ b/modules/filbert_controller/work_requests.cpp
@@ -1,4 +1,4 @@
-#include "work_intake.h"
+#include "work_requests.h"
 
 #include "leadership.h"
 
@@ -8,29 +8,29 @@
 
 namespace {
 
-constexpr std::uint64_t requestTicketBit = 1ULL << 63;
-constexpr milliseconds retryWhenFull {1'000};
-constexpr std::size_t unreachableWitnesses = 2; // gateways, if there are as many
-constexpr int maxTasksOfJob = 100'000;
+constexpr std::uint64_t requestIdBit = 1ULL << 63;
+constexpr milliseconds overloadRetryDelay {1'000};
+constexpr std::size_t minUnreachableReporters = 2; // gateways, if there are as many
+constexpr int maxTasksPerJob = 100'000;
 
-bool isAnswered(controller_state &state, const reply_address &from,
-                const messages::dispatch_request &request)
+bool answerFromRecord(controller_state &state, const reply_address &from,
+                      const messages::dispatch_request &request)
 {
     if (request.idempotency_key().empty()) {
         return false;
     }
     const auto name = idempotencyRecordKey(request.team(), "service/" + request.service(),
                                            request.idempotency_key());
-    const auto *known = findIdempotencyRecord(state.cell, name);
-    if (known == nullptr) {
+    const auto *found = findIdempotencyRecord(state.cell, name);
+    if (found == nullptr) {
         return false;
     }
-    const auto &record = *known;
+    const auto &record = *found;
     if (record.request_digest() != request.request_digest()) {
         refuse(state, from, error_kind::KeyReused, "");
     } else if (record.placement_id() != 0) {
         refuse(state, from, error_kind::OutcomeUnknown, "the first request is still in progress",
-               retryWhenFull);
+               overloadRetryDelay);
     } else if (record.result() == messages::UNKNOWN) {
         refuse(state, from, error_kind::OutcomeUnknown, "");
     } else {
@@ -49,9 +49,9 @@
                        time_point now)
 {
     const auto leaseEnd = live.clockMs + state.settings.targetLease.count;
-    const auto near =
+    const auto requestDeadline =
         live.clockMs + (now - live.lastContactAt + state.settings.requestStartTimeout).count;
-    return isRequest ? std::min(leaseEnd, near) : leaseEnd;
+    return isRequest ? std::min(leaseEnd, requestDeadline) : leaseEnd;
 }
 
 messages::placement placementOf(const controller_state &state, const placement_decision &decision,
@@ -78,12 +78,12 @@
     messages::command command;
     auto *place = command.mutable_place();
     *place = placementOf(state, decision, task, now);
-    const auto open = state.dispatches.find(decision.workId);
-    if (open != state.dispatches.end()) {
-        const auto &request = open->second.request;
+    const auto dispatch = state.dispatches.find(decision.workId);
+    if (dispatch != state.dispatches.end()) {
+        const auto &request = dispatch->second.request;
         place->set_idempotency_key(request.idempotency_key());
         place->set_request_digest(request.request_digest());
-        state.dispatchOfPlacement[decision.placementId] = decision.workId;
+        state.dispatchByPlacement[decision.placementId] = decision.workId;
     } else {
         place->set_job_id(decision.workId);
         place->set_task_index(decision.taskIndex);
@@ -113,7 +113,7 @@
     if (found == state.cell.placements.end()) {
         return;
     }
-    state.stopping.insert(placement);
+    state.stoppingPlacements.insert(placement);
     const auto live = state.liveness.find(found->second.target);
     if (live == state.liveness.end()) {
         return;
@@ -143,11 +143,11 @@
         refuse(state, from, error_kind::Unauthorized, "");
         return;
     }
-    if (isAnswered(state, from, request)) {
+    if (answerFromRecord(state, from, request)) {
         return;
     }
     work_item item;
-    item.workId = requestTicketBit | ++state.lastWorkId;
+    item.workId = requestIdBit | ++state.lastWorkId;
     item.kind = queue != nullptr && queue->policy() == messages::URGENT ? work_class::Urgent
                                                                         : work_class::Batch;
     item.team = request.team();
@@ -157,13 +157,13 @@
     item.tasks = {0};
     item.excludedTargets = {request.avoid().begin(), request.avoid().end()};
     item.startDeadline = now + milliseconds {request.wait_ms()};
-    const auto ticket = item.workId;
+    const auto workId = item.workId;
     if (const auto error = addWork(state.scheduler, std::move(item), now)) {
-        refuse(state, from, errorKindOf(error), "", retryWhenFull);
+        refuse(state, from, errorKindOf(error), "", overloadRetryDelay);
         return;
     }
     state.dispatches.emplace(
-        ticket, pending_dispatch {from, request, now + milliseconds {request.wait_ms()}});
+        workId, pending_dispatch {from, request, now + milliseconds {request.wait_ms()}});
 }
 
 void handleEnd(controller_state &state, const reply_address &from,
@@ -171,10 +171,11 @@
 {
     if (!end.unreachable_target().empty()) {
         // A single gateway that is cut off must not make targets unavailable to all others.
-        const auto witnesses = std::min<std::size_t>(state.gateways.size(), unreachableWitnesses);
-        recordUnreachable(state.scheduler,
-                          {end.unreachable_target(), end.placement_id(), from.gateway, witnesses},
-                          now);
+        const auto requiredReporters =
+            std::min<std::size_t>(state.gateways.size(), minUnreachableReporters);
+        recordUnreachable(
+            state.scheduler,
+            {end.unreachable_target(), end.placement_id(), from.gateway, requiredReporters}, now);
     }
     const auto found = state.cell.placements.find(end.placement_id());
     if (found == state.cell.placements.end()) {
@@ -199,25 +200,27 @@
         return;
     }
     const auto need = taskNeedOf(submission.task());
-    if (submission.tasks() < 0 || submission.tasks() > maxTasksOfJob || !fitsWithin({}, need)) {
+    if (submission.tasks() < 0 || submission.tasks() > maxTasksPerJob || !fitsWithin({}, need)) {
         refuse(state, from, error_kind::Malformed,
                "the number or the size of the tasks is out of range");
         return;
     }
-    const auto bound = queue->max_waiting() > 0 ? static_cast<std::size_t>(queue->max_waiting())
-                                                : state.settings.policy.maxJobsWaiting;
-    const auto known = state.scheduler.teams.find(submission.team());
-    if (known != state.scheduler.teams.end()) {
-        const auto &counts = known->second.waitingCount;
-        if (counts[0] + counts[1] + counts[2] >= bound) {
+    const auto maxWaiting = queue->max_waiting() > 0
+        ? static_cast<std::size_t>(queue->max_waiting())
+        : state.settings.policy.maxJobsWaiting;
+    const auto found = state.scheduler.teams.find(submission.team());
+    if (found != state.scheduler.teams.end()) {
+        const auto &counts = found->second.waitingCount;
+        if (counts[0] + counts[1] + counts[2] >= maxWaiting) {
             refuse(state, from, error_kind::Overloaded, "too many jobs of the team are waiting",
-                   retryWhenFull);
+                   overloadRetryDelay);
             return;
         }
     }
     const bool isGang = queue->policy() == messages::GANG;
-    const auto together = isGang ? static_cast<std::size_t>(std::max(submission.tasks(), 1)) : 1;
-    if (!fitsWithin(scaledBy(need, together), limitOf(*team))) {
+    const auto simultaneousTasks =
+        isGang ? static_cast<std::size_t>(std::max(submission.tasks(), 1)) : 1;
+    if (!fitsWithin(scaledBy(need, simultaneousTasks), limitOf(*team))) {
         refuse(state, from, error_kind::LimitReached, "the job alone exceeds the team's limit");
         return;
     }
@@ -270,24 +273,24 @@
     const auto result = schedule(state.scheduler, now);
     for (std::size_t i = 0; i < result.placements.size();) {
         const auto &first = result.placements[i];
-        std::vector<placement_decision> same;
+        std::vector<placement_decision> gang;
         const bool isGang = state.scheduler.running.at(first.placementId).kind == work_class::Gang;
         while (isGang && i < result.placements.size()
                && result.placements[i].workId == first.workId) {
-            same.push_back(result.placements[i++]);
+            gang.push_back(result.placements[i++]);
         }
         if (isGang) {
-            proposeGang(state, same, now);
+            proposeGang(state, gang, now);
         } else {
             proposePlacement(state, first, now);
             ++i;
         }
     }
     for (const auto &refusal : result.refusals) {
-        const auto open = state.dispatches.find(refusal.workId);
-        if (open != state.dispatches.end()) {
-            refuse(state, open->second.replyTo, refusal.kind, "", retryWhenFull);
-            state.dispatches.erase(open);
+        const auto dispatch = state.dispatches.find(refusal.workId);
+        if (dispatch != state.dispatches.end()) {
+            refuse(state, dispatch->second.replyTo, refusal.kind, "", overloadRetryDelay);
+            state.dispatches.erase(dispatch);
         }
     }
     for (const auto &stop : result.stops) {
