--- a/modules/filbert_controller/target_leases.cpp
+++ b/modules/filbert_controller/target_leases.cpp
@@ -130,7 +130,7 @@
 {
     if (!isValidRegistration(registration)) {
         refuse(state, from, error_kind::Malformed,
-               "a target needs a name, an address (IP:port), an epoch, services and slots");
+               "a target needs name, address (IP:port), epoch, services and a capacity with slots");
         return;
     }
     messages::command command;
--- a/modules/filbert_node/leader_client.cpp
+++ b/modules/filbert_node/leader_client.cpp
@@ -105,8 +105,8 @@
 {
     for (const auto &member : welcome.members()) {
         if (members.insert(member.address()).second) {
-            nextHelloAt =
-                std::min(nextHelloAt, now + settings.retryDelay); // it may become the leader
+            // A new member may become the leader, so it gets a hello soon.
+            nextHelloAt = std::min(nextHelloAt, now + settings.retryDelay);
         }
     }
     const bool isFromLeader = welcome.leader_address() == address;
--- a/modules/filbert_node/tests/leader_client_test.cpp
+++ b/modules/filbert_node/tests/leader_client_test.cpp
@@ -142,7 +142,7 @@
     fixture.client.handleEnvelope("tcp://c2", envelope, fixture.now);
     fixture.advance({100});
     CHECK(std::any_of(fixture.sent.begin(), fixture.sent.end(),
-                      [](const auto &message) { return message.first == "tcp://c3"; }));
+                      [](const auto &entry) { return entry.first == "tcp://c3"; }));
 }
 
 TEST_CASE("hellos are sent more often while no leader is known", "[link]")
--- a/modules/filbert_node/work_controller.cpp
+++ b/modules/filbert_node/work_controller.cpp
@@ -155,27 +155,27 @@
     }
 }
 
-void work_controller::answer(const answer_address &to, messages::work_answer &&message)
+void work_controller::answer(const answer_address &to, messages::work_answer &&content)
 {
     if (to.exchange == 0) {
         return;
     }
-    metrics.countAnswer(answerName(message.kind()));
+    metrics.countAnswer(answerName(content.kind()));
     messages::work_envelope envelope;
     envelope.set_exchange(to.exchange);
     envelope.set_from(settings.name);
-    *envelope.mutable_answer() = std::move(message);
+    *envelope.mutable_answer() = std::move(content);
     hooks.sendToPeer(to.peer, envelope);
 }
 
 void work_controller::answerKind(const answer_address &to, messages::work_answer_kind kind,
                                  const std::string &detail, std::int64_t number)
 {
-    messages::work_answer message;
-    message.set_kind(kind);
-    message.set_detail(detail);
-    message.set_number(number);
-    answer(to, std::move(message));
+    messages::work_answer content;
+    content.set_kind(kind);
+    content.set_detail(detail);
+    content.set_number(number);
+    answer(to, std::move(content));
 }
 
 void work_controller::propose(messages::work_command &&command, const answer_address &to)
--- a/modules/filbert_node/work_controller.h
+++ b/modules/filbert_node/work_controller.h
@@ -103,7 +103,7 @@
     void handleHello(const std::string &peer, const messages::peer_hello &hello, time_point now);
     void sendWelcome(const std::string &peer, time_point now);
     void announceLeadership(time_point now);
-    void answer(const answer_address &to, messages::work_answer &&message);
+    void answer(const answer_address &to, messages::work_answer &&content);
     void answerKind(const answer_address &to, messages::work_answer_kind kind,
                     const std::string &detail = {}, std::int64_t number = 0);
     void propose(messages::work_command &&command, const answer_address &to);
--- a/modules/filbert_node/work_requests.cpp
+++ b/modules/filbert_node/work_requests.cpp
@@ -51,12 +51,12 @@
         handleConfiguration(from, request.configure());
         break;
     case body::kReadConfiguration: {
-        messages::work_answer message;
+        messages::work_answer content;
         const bool hasConfiguration = state.configuration.version() > 0;
-        message.set_kind(hasConfiguration ? messages::ANSWER_DOCUMENT : messages::ANSWER_NOT_NOW);
-        message.set_document(state.configuration.document());
-        message.set_number(hasConfiguration ? 0 : formationRetryDelay.count);
-        answer(from, std::move(message));
+        content.set_kind(hasConfiguration ? messages::ANSWER_DOCUMENT : messages::ANSWER_NOT_NOW);
+        content.set_document(state.configuration.document());
+        content.set_number(hasConfiguration ? 0 : formationRetryDelay.count);
+        answer(from, std::move(content));
         break;
     }
     case body::BODY_NOT_SET:
@@ -100,10 +100,10 @@
     const bool isVisible = job != state.jobs.end() && job->second.job.queue() == queue->name()
         && (queue->is_open() || job->second.job.team() == teamName);
     if (call.kind() == messages::JOB_STATE) {
-        messages::work_answer message;
-        message.set_kind(isVisible ? messages::ANSWER_STATE : messages::ANSWER_NO_JOB);
-        message.set_name(isVisible ? std::string {statusName(job->second.status)} : std::string {});
-        answer(from, std::move(message));
+        messages::work_answer content;
+        content.set_kind(isVisible ? messages::ANSWER_STATE : messages::ANSWER_NO_JOB);
+        content.set_name(isVisible ? std::string {statusName(job->second.status)} : std::string {});
+        answer(from, std::move(content));
         return;
     }
     const bool mayBePending =
