--- a/modules/filbert_controller/controller_state.h
+++ b/modules/filbert_controller/controller_state.h
@@ -23,12 +23,13 @@
     // A task is stopped if throttling it for this long did not help.
     milliseconds throttleTimeout {3'000};
     milliseconds configurationLease {3'000};
+    // A snapshot is due after this many applied entries, or when the log takes this many bytes.
     std::uint64_t snapshotEntries = 50'000;
     std::uint64_t snapshotBytes = 64 << 20;
     // In one chunk of a snapshot, which is read and synced in one turn of the event loop.
     std::size_t snapshotChunkRecords = 1'000;
     milliseconds snapshotRetryDelay {10'000}; // after a snapshot failed because the disk was full
-    std::size_t maxPendingCommands = 50'000;
+    std::size_t maxPendingCommands = 50'000; // with so many, the scheduler places no more tasks
 };
 
 /** Where an answer goes. */
