--- a/modules/filbert_controller/controller_state.h
+++ b/modules/filbert_controller/controller_state.h
@@ -23,12 +23,13 @@
     // A task is stopped if throttling it for this long did not help.
     milliseconds throttleTimeout {3'000};
     milliseconds configurationLease {3'000};
+    // A snapshot is due after this many applied entries, or when the log takes this many bytes.
     std::uint64_t snapshotEntries = 50'000;
     std::uint64_t snapshotBytes = 64 << 20;
     // In one chunk of a snapshot, which is read and synced in one turn of the event loop.
     std::size_t snapshotChunkRecords = 1'000;
     milliseconds snapshotRetryDelay {10'000}; // after a snapshot failed because the disk was full
-    std::size_t maxPendingCommands = 50'000;
+    std::size_t maxPendingCommands = 50'000; // with so many, the scheduler places no more tasks
 };
 
 /** Where an answer goes. */
@@ -96,13 +97,13 @@
     // Where the answers to proposed commands go that are not applied yet; by log index.
     std::map<std::uint64_t, std::vector<reply_address>> inFlight;
     std::unordered_map<std::uint64_t, pending_dispatch> dispatches; // by work id
-    std::unordered_map<std::uint64_t, std::uint64_t> dispatchOfPlacement; // work id by placement
+    std::unordered_map<std::uint64_t, std::uint64_t> dispatchByPlacement; // work id by placement
     std::map<std::string, target_liveness> liveness;
     std::map<std::string, gateway_view> gateways;
     std::unordered_set<std::uint64_t> proposedEnds; // placements whose end has been proposed
     std::unordered_map<std::uint64_t, time_point> throttledSince; // since when, by placement
     // Placements that were ordered to stop; answers to heartbeats repeat the order.
-    std::unordered_set<std::uint64_t> stopping;
+    std::unordered_set<std::uint64_t> stoppingPlacements;
     std::uint64_t lastWorkId = 0;
     bool isDiskFull = false;
     bool isStopping = false;
