--- a/modules/filbert_work/filbert_work.h
+++ b/modules/filbert_work/filbert_work.h
@@ -13,6 +13,12 @@
     - The tasks of a gang run together: one success completes the step, and runs that fail together
       count as one failure.
     - A best-effort step reserves no cores; its tasks use the cores that others leave idle.
+    - The tasks of a long-running step are started again whenever they end, until the job is
+      cancelled.
+
+    The messages use older names for some of these: `born` is the number of an incarnation,
+    `fills_gaps` marks a best-effort step and `lasts` a long-running one, and a `drop` command
+    abandons a run, so that its task waits again.
 
     Every change is a command of the replicated log. Applying a command is deterministic, so that
     all controllers hold the same state at the same index of the log. A command that would violate a
--- a/modules/filbert_work/queue_lookup.cpp
+++ b/modules/filbert_work/queue_lookup.cpp
@@ -12,25 +12,25 @@
 constexpr int maxTasksInStep = 10'000; // a step of this size takes 1 MB of replicated state
 constexpr int maxSteps = 1'000;
 
-bool areSame(const std::string &a, const std::string &b)
+bool isEqualInConstantTime(const std::string &a, const std::string &b)
 {
     return a.size() == b.size() && sodium_memcmp(a.data(), b.data(), a.size()) == 0;
 }
 
-std::optional<std::string> problemInStep(const messages::staged_job &job, int step)
+std::optional<std::string> findStepProblem(const messages::staged_job &job, int step)
 {
     const auto &spec = job.steps(step);
-    const auto where = "step " + std::to_string(step) + ": ";
+    const auto prefix = "step " + std::to_string(step) + ": ";
     if (spec.count() < 1 || spec.count() > maxTasksInStep) {
-        return where + "expected a task count from 1 to " + std::to_string(maxTasksInStep);
+        return prefix + "expected a task count from 1 to " + std::to_string(maxTasksInStep);
     }
     if (spec.need().milli_cores() < 0 || spec.need().memory_mb() < 0
         || spec.need().accelerators() < 0 || spec.max_per_target() < 0) {
-        return where + "expected resource amounts and limits of 0 or more";
+        return prefix + "expected resource amounts and limits of 0 or more";
     }
-    for (const auto needed : spec.depends_on()) {
-        if (needed < 0 || needed >= step) {
-            return where + "expected dependencies on earlier steps only";
+    for (const auto dependency : spec.depends_on()) {
+        if (dependency < 0 || dependency >= step) {
+            return prefix + "expected dependencies on earlier steps only";
         }
     }
     return std::nullopt;
@@ -57,7 +57,7 @@
 {
     for (const auto &team : configuration.teams()) {
         for (const auto &each : team.keys()) {
-            if (areSame(each, key)) {
+            if (isEqualInConstantTime(each, key)) {
                 return &team;
             }
         }
@@ -71,12 +71,12 @@
     for (const auto &service : configuration.services()) {
         services.insert(service.name());
     }
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> routes;
     for (const auto &queue : configuration.queues()) {
         if (!services.contains(queue.service())) {
             return "queue " + queue.name() + ": unknown service " + queue.service();
         }
-        if (!places.emplace(queue.host(), queue.path_prefix()).second) {
+        if (!routes.emplace(queue.host(), queue.path_prefix()).second) {
             return "queue " + queue.name() + ": another queue has the same host and path prefix";
         }
     }
@@ -100,7 +100,7 @@
         return "expected a repeat count and an interval of 0 or more";
     }
     for (int step = 0; step < job.steps_size(); ++step) {
-        if (auto problem = problemInStep(job, step)) {
+        if (auto problem = findStepProblem(job, step)) {
             return problem;
         }
     }
--- a/modules/filbert_work/queue_lookup.h
+++ b/modules/filbert_work/queue_lookup.h
@@ -11,14 +11,15 @@
 const messages::work_queue *findQueueByPath(const messages::work_configuration &configuration,
                                             const std::string &host, const std::string &path);
 
-/** Finds the team that holds a key. Each comparison takes constant time, so that its duration does
-    not reveal how much of a key is right.
+/** Finds the team that holds a key. Keys of equal length are compared in constant time, so that the
+    duration does not reveal how much of a key is right.
     @param key  as the client sent it
     @return the team, or nullptr */
 const messages::work_team *findTeamByKey(const messages::work_configuration &configuration,
                                          const std::string &key);
 
-/** Validates a configuration: references to services, and that paths and keys are unique.
+/** Validates a configuration: queues must refer to known services, and no two queues may have the
+    same host and path prefix, nor two teams the same key.
 
     @return what is wrong with it, or nothing if it may be applied
 */
--- a/modules/filbert_work/tests/work_commands_test.cpp
+++ b/modules/filbert_work/tests/work_commands_test.cpp
@@ -321,22 +321,23 @@
             default:
                 cell.drop(task, run);
             }
-            for (const auto &[id, life] : cell.state.targets) {
-                RC_ASSERT(life.used.milliCores <= life.registration.capacity().milli_cores());
-                RC_ASSERT(life.used.milliCores >= 0);
+            for (const auto &[id, registered] : cell.state.targets) {
+                RC_ASSERT(registered.used.milliCores
+                          <= registered.registration.capacity().milli_cores());
+                RC_ASSERT(registered.used.milliCores >= 0);
             }
         }
-        work_state read;
-        RC_ASSERT(!readWorkState(writeWorkState(cell.state), &read));
-        RC_ASSERT(read.teamUsage["desk"] == cell.state.teamUsage["desk"]);
-        for (const auto &[id, life] : cell.state.targets) {
-            RC_ASSERT(read.targets.at(id).runs == life.runs);
-            RC_ASSERT(read.targets.at(id).used == life.used);
-            RC_ASSERT(read.targets.at(id).lastAppliedEnd == life.lastAppliedEnd);
+        work_state restored;
+        RC_ASSERT(!readWorkState(writeWorkState(cell.state), &restored));
+        RC_ASSERT(restored.teamUsage["desk"] == cell.state.teamUsage["desk"]);
+        for (const auto &[id, registered] : cell.state.targets) {
+            RC_ASSERT(restored.targets.at(id).runs == registered.runs);
+            RC_ASSERT(restored.targets.at(id).used == registered.used);
+            RC_ASSERT(restored.targets.at(id).lastAppliedEnd == registered.lastAppliedEnd);
         }
         for (const auto &[id, job] : cell.state.jobs) {
-            RC_ASSERT(read.jobs.at(id).status == job.status);
-            RC_ASSERT(read.jobs.at(id).runningTasks == job.runningTasks);
+            RC_ASSERT(restored.jobs.at(id).status == job.status);
+            RC_ASSERT(restored.jobs.at(id).runningTasks == job.runningTasks);
         }
     });
 }
--- a/modules/filbert_work/tests/work_fixture.h
+++ b/modules/filbert_work/tests/work_fixture.h
@@ -40,27 +40,27 @@
         return applyCommand(state, command, 0);
     }
 
-    void target(const std::string &id, std::int64_t born = 1, std::int32_t cores = 8'000,
+    void target(const std::string &id, std::int64_t incarnation = 1, std::int32_t cores = 8'000,
                 const std::string &address = {})
     {
         messages::work_command command;
-        *command.mutable_target() = life(id, born, cores, address);
+        *command.mutable_target() = life(id, incarnation, cores, address);
         apply(command);
     }
 
-    static messages::target_life life(const std::string &id, std::int64_t born,
+    static messages::target_life life(const std::string &id, std::int64_t incarnation,
                                       std::int32_t cores = 8'000, const std::string &address = {})
     {
-        messages::target_life life;
-        life.set_id(id);
-        life.set_born(born);
-        life.set_address(address.empty() ? id + ":80" : address);
-        life.set_service("orders");
-        life.mutable_capacity()->set_milli_cores(cores);
-        life.mutable_capacity()->set_memory_mb(64'000);
-        life.add_labels("a");
-        life.add_labels("rack-1");
-        return life;
+        messages::target_life registration;
+        registration.set_id(id);
+        registration.set_born(incarnation);
+        registration.set_address(address.empty() ? id + ":80" : address);
+        registration.set_service("orders");
+        registration.mutable_capacity()->set_milli_cores(cores);
+        registration.mutable_capacity()->set_memory_mb(64'000);
+        registration.add_labels("a");
+        registration.add_labels("rack-1");
+        return registration;
     }
 
     static messages::step_spec step(int count, std::int32_t cores = 2'000)
@@ -90,30 +90,31 @@
     }
 
     static messages::work_command startCommand(const task_name &task, std::uint32_t run,
-                                               const std::string &target, std::int64_t born = 1)
+                                               const std::string &target,
+                                               std::int64_t incarnation = 1)
     {
         messages::work_command command;
         *command.mutable_start()->mutable_task() = toTaskReference(task);
         command.mutable_start()->set_run(run);
         command.mutable_start()->set_target(target);
-        command.mutable_start()->set_born(born);
+        command.mutable_start()->set_born(incarnation);
         return command;
     }
 
     command_outcome start(const task_name &task, std::uint32_t run, const std::string &target,
-                          std::int64_t born = 1)
+                          std::int64_t incarnation = 1)
     {
-        return apply(startCommand(task, run, target, born));
+        return apply(startCommand(task, run, target, incarnation));
     }
 
     static messages::work_command endCommand(const task_name &task, std::uint32_t run,
                                              const std::string &target, messages::end_kind kind,
-                                             std::uint64_t number = 1, std::int64_t born = 1)
+                                             std::uint64_t number = 1, std::int64_t incarnation = 1)
     {
         messages::work_command command;
         auto *batch = command.mutable_end();
         batch->set_target(target);
-        batch->set_born(born);
+        batch->set_born(incarnation);
         batch->set_last_seen(number);
         auto *end = batch->add_ends();
         *end->mutable_task() = toTaskReference(task);
@@ -123,9 +124,10 @@
     }
 
     command_outcome end(const task_name &task, std::uint32_t run, const std::string &target,
-                        messages::end_kind kind, std::uint64_t number = 1, std::int64_t born = 1)
+                        messages::end_kind kind, std::uint64_t number = 1,
+                        std::int64_t incarnation = 1)
     {
-        return apply(endCommand(task, run, target, kind, number, born));
+        return apply(endCommand(task, run, target, kind, number, incarnation));
     }
 
     command_outcome drop(const task_name &task, std::uint32_t run)
--- a/modules/filbert_work/work_commands.cpp
+++ b/modules/filbert_work/work_commands.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-void leavePending(work_state &state, work_job &job)
+void removeFromPending(work_state &state, work_job &job)
 {
     if (!job.hasStarted) {
         --state.pendingByQueue[job.job.queue()];
@@ -17,7 +17,7 @@
 
 void endJob(work_state &state, work_job &job, job_status status, std::int64_t wallMs)
 {
-    leavePending(state, job);
+    removeFromPending(state, job);
     job.hasStarted = true; // so that it no longer counts as pending
     job.status = status;
     job.endedWallMs = wallMs;
@@ -27,7 +27,7 @@
 
     Only what queries about the job need is kept: ended jobs are retained for minutes, and their
     tasks would make up most of a snapshot. */
-void dropDetailsOfEnded(work_job &job)
+void discardDetailsOfEndedJob(work_job &job)
 {
     if (job.hasEnded() && job.runningTasks == 0) {
         job.occurrences.clear();
@@ -35,14 +35,15 @@
     }
 }
 
-std::uint32_t occurrencesOf(const work_job &job)
+/** @return the number of times that the job's steps run in all */
+std::uint32_t occurrenceCount(const work_job &job)
 {
     return static_cast<std::uint32_t>(std::max(job.job.repeat_count(), 1));
 }
 
-bool isComplete(const work_job &job)
+bool isJobComplete(const work_job &job)
 {
-    if (job.occurrences.size() < occurrencesOf(job)) {
+    if (job.occurrences.size() < occurrenceCount(job)) {
         return false;
     }
     for (const auto &[number, occurrence] : job.occurrences) {
@@ -60,7 +61,8 @@
     return static_cast<std::uint32_t>(std::max(queueOf(state, job).max_attempts(), 1));
 }
 
-command_outcome configure(work_state &state, const messages::work_configuration &configuration)
+command_outcome applyConfiguration(work_state &state,
+                                   const messages::work_configuration &configuration)
 {
     if (configuration.version() > state.configuration.version()) {
         state.configuration = configuration;
@@ -68,7 +70,7 @@
     return {};
 }
 
-command_outcome accept(work_state &state, const messages::staged_job &job)
+command_outcome acceptJob(work_state &state, const messages::staged_job &job)
 {
     if (state.jobs.contains(job.id())) {
         return {}; // a repetition of the same request
@@ -82,7 +84,7 @@
     return {};
 }
 
-command_outcome cancel(work_state &state, const std::string &id, std::int64_t wallMs)
+command_outcome cancelJob(work_state &state, const std::string &id, std::int64_t wallMs)
 {
     const auto job = state.jobs.find(id);
     if (job == state.jobs.end()) {
@@ -90,39 +92,41 @@
     }
     if (!job->second.hasEnded()) {
         endJob(state, job->second, job_status::Cancelled, wallMs);
-        dropDetailsOfEnded(job->second);
+        discardDetailsOfEndedJob(job->second);
     }
     return {};
 }
 
-command_outcome start(work_state &state, const messages::start_run_command &command)
+command_outcome startRun(work_state &state, const messages::start_run_command &command)
 {
     const auto name = toTaskName(command.task());
-    const auto known = state.jobs.find(name.job);
-    if (known != state.jobs.end() && known->second.hasEnded()) {
+    const auto foundJob = state.jobs.find(name.job);
+    if (foundJob != state.jobs.end() && foundJob->second.hasEnded()) {
         return {error_kind::Conflict, "the job has ended"};
     }
     auto *task = findTask(state, name);
-    const auto life = state.targets.find(command.target());
-    if (task == nullptr || life == state.targets.end()) {
+    const auto registered = state.targets.find(command.target());
+    if (task == nullptr || registered == state.targets.end()) {
         return {error_kind::NotFound, "no such task or target"};
     }
-    auto &job = known->second;
+    auto &job = foundJob->second;
     auto &occurrence = job.occurrences.at(name.occurrence);
     auto &step = occurrence.steps[name.step];
     const auto &spec = stepSpecOf(job, name.step);
-    const bool isDue =
+    const bool isStepDue =
         !(spec.is_gang() && step.isGangDone) && isStepReady(job, occurrence, name.step);
-    if (task->status != task_status::Waiting || command.run() <= task->run || !isDue) {
+    if (task->status != task_status::Waiting || command.run() <= task->run || !isStepDue) {
         return {error_kind::Conflict, "the task is running or done, or its step is not ready"};
     }
-    if (life->second.hasEnded || life->second.registration.born() != command.born()) {
+    if (registered->second.hasEnded || registered->second.registration.born() != command.born()) {
         return {error_kind::Conflict, "this incarnation of the target has ended"};
     }
-    const auto room = amountsOf(life->second.registration.capacity()) - life->second.used;
-    const auto need = targetReservation(spec);
-    if (need.milliCores > room.milliCores || need.memoryMb > room.memoryMb
-        || need.accelerators > room.accelerators) {
+    const auto freeCapacity =
+        amountsOf(registered->second.registration.capacity()) - registered->second.used;
+    const auto reservation = targetReservation(spec);
+    if (reservation.milliCores > freeCapacity.milliCores
+        || reservation.memoryMb > freeCapacity.memoryMb
+        || reservation.accelerators > freeCapacity.accelerators) {
         return {error_kind::NoCapacity, "the target has not enough free resources"};
     }
     task->status = task_status::Running;
@@ -130,7 +134,7 @@
     task->target = command.target();
     task->incarnation = command.born();
     ++step.runningTasks;
-    leavePending(state, job);
+    removeFromPending(state, job);
     job.hasStarted = true;
     job.status = job_status::Active;
     updateReservations(state, name, task->target, 1);
@@ -138,7 +142,7 @@
 }
 
 /** Releases the resources of a task's run; the task waits again. */
-void release(work_state &state, const task_name &name, work_task &task, step_record &step)
+void releaseRun(work_state &state, const task_name &name, work_task &task, step_record &step)
 {
     updateReservations(state, name, task.target, -1);
     --step.runningTasks;
@@ -160,8 +164,8 @@
         }
         failures = step.gangFailures;
     }
-    const bool isGivenUp = !spec.lasts() && failures >= maxAttemptsOf(state, job);
-    if (isGivenUp && !job.hasEnded()) {
+    const bool hasNoAttemptsLeft = !spec.lasts() && failures >= maxAttemptsOf(state, job);
+    if (hasNoAttemptsLeft && !job.hasEnded()) {
         endJob(state, job, job_status::Failed, wallMs);
     }
 }
@@ -175,42 +179,43 @@
     if (stepSpecOf(job, name.step).is_gang()) {
         step.isGangDone = true;
     }
-    if (!job.hasEnded() && isComplete(job)) {
+    if (!job.hasEnded() && isJobComplete(job)) {
         endJob(state, job, job_status::Completed, wallMs);
     }
 }
 
-void endRun(work_state &state, const std::string &target, std::int64_t born,
+void endRun(work_state &state, const std::string &target, std::int64_t incarnation,
             const messages::run_end &end, std::int64_t wallMs)
 {
     const auto name = toTaskName(end.task());
     auto *task = findTask(state, name);
     // A start order that was sent to an earlier incarnation may have been executed by this one.
     const bool isCurrent = task != nullptr && task->status == task_status::Running
-        && task->run == end.run() && task->target == target && task->incarnation <= born;
+        && task->run == end.run() && task->target == target && task->incarnation <= incarnation;
     if (!isCurrent) {
         return;
     }
     auto &job = state.jobs.at(name.job);
     auto &step = job.occurrences.at(name.occurrence).steps[name.step];
-    release(state, name, *task, step);
+    releaseRun(state, name, *task, step);
     if (!end.checkpoint().empty()) {
         task->checkpoint = end.checkpoint();
     }
-    const bool lasts = stepSpecOf(job, name.step).lasts();
+    const bool isLongRunning = stepSpecOf(job, name.step).lasts();
     if (end.kind() == messages::END_FAILED) {
         countFailure(state, name, *task, step, wallMs);
-    } else if (end.kind() == messages::END_DONE && !lasts) {
+    } else if (end.kind() == messages::END_DONE && !isLongRunning) {
         markDone(state, name, *task, step, wallMs);
     }
-    dropDetailsOfEnded(job);
+    discardDetailsOfEndedJob(job);
 }
 
-command_outcome end(work_state &state, const messages::end_runs_command &command,
-                    std::int64_t wallMs)
+command_outcome endRuns(work_state &state, const messages::end_runs_command &command,
+                        std::int64_t wallMs)
 {
-    const auto life = state.targets.find(command.target());
-    if (life == state.targets.end() || life->second.registration.born() != command.born()) {
+    const auto registered = state.targets.find(command.target());
+    if (registered == state.targets.end()
+        || registered->second.registration.born() != command.born()) {
         return {error_kind::NotFound, "no such incarnation of the target"};
     }
     for (const auto &each : command.ends()) {
@@ -221,7 +226,7 @@
     return {};
 }
 
-command_outcome drop(work_state &state, const messages::drop_run_command &command)
+command_outcome abandonRun(work_state &state, const messages::drop_run_command &command)
 {
     const auto name = toTaskName(command.task());
     auto *task = findTask(state, name);
@@ -229,70 +234,71 @@
         return {};
     }
     auto &job = state.jobs.at(name.job);
-    release(state, name, *task, job.occurrences.at(name.occurrence).steps[name.step]);
+    releaseRun(state, name, *task, job.occurrences.at(name.occurrence).steps[name.step]);
     if (!command.checkpoint().empty()) {
         task->checkpoint = command.checkpoint();
     }
-    dropDetailsOfEnded(job);
+    discardDetailsOfEndedJob(job);
     return {};
 }
 
-void dropAllRuns(work_state &state, registered_target &life)
+void abandonAllRuns(work_state &state, registered_target &target)
 {
-    const auto runs = life.runs;
+    const auto runs = target.runs;
     for (const auto &name : runs) {
         auto &job = state.jobs.at(name.job);
         auto &step = job.occurrences.at(name.occurrence).steps[name.step];
-        release(state, name, step.tasks[name.index], step);
-        dropDetailsOfEnded(job);
+        releaseRun(state, name, step.tasks[name.index], step);
+        discardDetailsOfEndedJob(job);
     }
 }
 
-command_outcome target(work_state &state, const messages::target_life &about)
+command_outcome registerTarget(work_state &state, const messages::target_life &registration)
 {
     for (auto &[id, other] : state.targets) {
         // Only one process can listen at an address at a time, so that a later incarnation there
         // proves that the earlier one has ended.
-        if (id != about.id() && !other.hasEnded
-            && other.registration.address() == about.address()) {
-            if (other.registration.born() > about.born()) {
+        if (id != registration.id() && !other.hasEnded
+            && other.registration.address() == registration.address()) {
+            if (other.registration.born() > registration.born()) {
                 return {error_kind::Conflict, "a newer target is registered with this address"};
             }
-            dropAllRuns(state, other);
+            abandonAllRuns(state, other);
             other.hasEnded = true;
         }
     }
-    auto &life = state.targets[about.id()];
-    if (life.registration.born() > about.born()
-        || (life.hasEnded && life.registration.born() == about.born())) {
+    auto &registered = state.targets[registration.id()];
+    if (registered.registration.born() > registration.born()
+        || (registered.hasEnded && registered.registration.born() == registration.born())) {
         return {error_kind::Conflict, "this incarnation of the target has ended"};
     }
-    const bool isNewLife = life.registration.born() != about.born();
-    if (isNewLife) {
-        life.lastAppliedEnd = 0;
-        life.hasEnded = false;
+    const bool isNewIncarnation = registered.registration.born() != registration.born();
+    if (isNewIncarnation) {
+        registered.lastAppliedEnd = 0;
+        registered.hasEnded = false;
     }
-    life.registration = about;
+    registered.registration = registration;
     return {};
 }
 
-command_outcome targetLeft(work_state &state, const std::string &id)
+command_outcome unregisterTarget(work_state &state, const std::string &id)
 {
-    const auto life = state.targets.find(id);
-    if (life != state.targets.end() && !life->second.hasEnded) {
-        dropAllRuns(state, life->second);
-        life->second.hasEnded = true;
+    const auto registered = state.targets.find(id);
+    if (registered != state.targets.end() && !registered->second.hasEnded) {
+        abandonAllRuns(state, registered->second);
+        registered->second.hasEnded = true;
     }
     return {};
 }
 
-command_outcome begin(work_state &state, const messages::begin_occurrence_command &command)
+command_outcome startOccurrence(work_state &state,
+                                const messages::begin_occurrence_command &command)
 {
     const auto job = state.jobs.find(command.job());
     if (job == state.jobs.end() || job->second.hasEnded()) {
         return {error_kind::NotFound, "no such job"};
     }
-    if (command.occurrence() >= occurrencesOf(job->second)
+    if (command.occurrence() >= occurrenceCount(job->second)
         || job->second.occurrences.contains(command.occurrence())) {
         return {error_kind::Conflict, "no such occurrence, or it has begun already"};
     }
@@ -300,7 +306,7 @@
     return {};
 }
 
-command_outcome forget(work_state &state, const messages::forget_jobs_command &command)
+command_outcome removeJobs(work_state &state, const messages::forget_jobs_command &command)
 {
     for (const auto &id : command.jobs()) {
         const auto job = state.jobs.find(id);
@@ -327,25 +333,25 @@
     using body = messages::work_command::BodyCase;
     switch (command.body_case()) {
     case body::kConfigure:
-        return configure(state, command.configure());
+        return applyConfiguration(state, command.configure());
     case body::kAccept:
-        return accept(state, command.accept());
+        return acceptJob(state, command.accept());
     case body::kCancel:
-        return cancel(state, command.cancel(), wallMs);
+        return cancelJob(state, command.cancel(), wallMs);
     case body::kStart:
-        return start(state, command.start());
+        return startRun(state, command.start());
     case body::kEnd:
-        return end(state, command.end(), wallMs);
+        return endRuns(state, command.end(), wallMs);
     case body::kDrop:
-        return drop(state, command.drop());
+        return abandonRun(state, command.drop());
     case body::kTarget:
-        return target(state, command.target());
+        return registerTarget(state, command.target());
     case body::kTargetLeft:
-        return targetLeft(state, command.target_left());
+        return unregisterTarget(state, command.target_left());
     case body::kBegin:
-        return begin(state, command.begin());
+        return startOccurrence(state, command.begin());
     case body::kForget:
-        return forget(state, command.forget());
+        return removeJobs(state, command.forget());
     case body::BODY_NOT_SET:
         break;
     }
--- a/modules/filbert_work/work_snapshot.cpp
+++ b/modules/filbert_work/work_snapshot.cpp
@@ -73,11 +73,11 @@
     for (const auto &[id, job] : state.jobs) {
         writeJob(job, image.add_jobs());
     }
-    for (const auto &[id, life] : state.targets) {
+    for (const auto &[id, registered] : state.targets) {
         auto *out = image.add_lives();
-        *out->mutable_about() = life.registration;
-        out->set_last_seen(life.lastAppliedEnd);
-        out->set_is_over(life.hasEnded);
+        *out->mutable_about() = registered.registration;
+        out->set_last_seen(registered.lastAppliedEnd);
+        out->set_is_over(registered.hasEnded);
     }
     return image.SerializeAsString();
 }
@@ -90,11 +90,11 @@
     }
     *state = {};
     state->configuration = image.configuration();
-    for (const auto &life : image.lives()) {
-        auto &record = state->targets[life.about().id()];
-        record.registration = life.about();
-        record.lastAppliedEnd = life.last_seen();
-        record.hasEnded = life.is_over();
+    for (const auto &stored : image.lives()) {
+        auto &registered = state->targets[stored.about().id()];
+        registered.registration = stored.about();
+        registered.lastAppliedEnd = stored.last_seen();
+        registered.hasEnded = stored.is_over();
     }
     for (const auto &job : image.jobs()) {
         state->jobs.emplace(job.job().id(), readJob(job));
--- a/modules/filbert_work/work_state.cpp
+++ b/modules/filbert_work/work_state.cpp
@@ -43,18 +43,18 @@
 
 resource_amounts taskDemand(const messages::step_spec &spec)
 {
-    auto need = amountsOf(spec.need());
-    need.slots = 0; // a target's slots bound its requests, not its tasks
-    return need;
+    auto demand = amountsOf(spec.need());
+    demand.slots = 0; // a target's slots bound its requests, not its tasks
+    return demand;
 }
 
 resource_amounts targetReservation(const messages::step_spec &spec)
 {
-    auto need = taskDemand(spec);
+    auto reservation = taskDemand(spec);
     if (spec.fills_gaps()) {
-        need.milliCores = 0;
+        reservation.milliCores = 0;
     }
-    return need;
+    return reservation;
 }
 
 std::int64_t bestEffortCoresOf(const messages::step_spec &spec)
@@ -69,8 +69,8 @@
 
 bool isStepReady(const work_job &job, const occurrence_record &occurrence, std::uint32_t step)
 {
-    const auto &needed = stepSpecOf(job, step).depends_on();
-    return std::all_of(needed.begin(), needed.end(), [&](std::int32_t each) {
+    const auto &dependencies = stepSpecOf(job, step).depends_on();
+    return std::all_of(dependencies.begin(), dependencies.end(), [&](std::int32_t each) {
         const auto index = static_cast<std::uint32_t>(each);
         return isStepDone(stepSpecOf(job, index), occurrence.steps[index]);
     });
@@ -100,13 +100,13 @@
     return queue != nullptr ? *queue : job.job.taken_under();
 }
 
-bool isWithinCap(const resource_amounts &use, const messages::resources &cap)
+bool isWithinCap(const resource_amounts &usage, const messages::resources &cap)
 {
     const auto within = [](std::int64_t used, std::int64_t limit) {
         return limit == 0 || used <= limit;
     };
-    return within(use.milliCores, cap.milli_cores()) && within(use.memoryMb, cap.memory_mb())
-        && within(use.accelerators, cap.accelerators());
+    return within(usage.milliCores, cap.milli_cores()) && within(usage.memoryMb, cap.memory_mb())
+        && within(usage.accelerators, cap.accelerators());
 }
 
 void updateReservations(work_state &state, const task_name &name, const std::string &target,
@@ -115,24 +115,24 @@
     auto &job = state.jobs.at(name.job);
     const auto &spec = stepSpecOf(job, name.step);
     const auto reserved = targetReservation(spec);
-    const auto whole = taskDemand(spec);
-    auto &life = state.targets.at(target);
+    const auto demand = taskDemand(spec);
+    auto &registered = state.targets.at(target);
     auto &team = state.teamUsage[job.job.team()];
-    const auto fill = bestEffortCoresOf(spec);
+    const auto bestEffortCores = bestEffortCoresOf(spec);
     if (sign > 0) {
-        life.runs.insert(name);
-        life.used += reserved;
-        life.bestEffortCores += fill;
-        life.latencySensitiveRuns += spec.latency_target_ms() > 0 ? 1 : 0;
-        team += whole;
+        registered.runs.insert(name);
+        registered.used += reserved;
+        registered.bestEffortCores += bestEffortCores;
+        registered.latencySensitiveRuns += spec.latency_target_ms() > 0 ? 1 : 0;
+        team += demand;
         ++job.runningTasks;
         return;
     }
-    life.runs.erase(name);
-    life.used -= reserved;
-    life.bestEffortCores -= fill;
-    life.latencySensitiveRuns -= spec.latency_target_ms() > 0 ? 1 : 0;
-    team -= whole;
+    registered.runs.erase(name);
+    registered.used -= reserved;
+    registered.bestEffortCores -= bestEffortCores;
+    registered.latencySensitiveRuns -= spec.latency_target_ms() > 0 ? 1 : 0;
+    team -= demand;
     --job.runningTasks;
 }
 
@@ -140,11 +140,11 @@
 {
     state.teamUsage.clear();
     state.pendingByQueue.clear();
-    for (auto &[id, life] : state.targets) {
-        life.runs.clear();
-        life.used = {};
-        life.bestEffortCores = 0;
-        life.latencySensitiveRuns = 0;
+    for (auto &[id, registered] : state.targets) {
+        registered.runs.clear();
+        registered.used = {};
+        registered.bestEffortCores = 0;
+        registered.latencySensitiveRuns = 0;
     }
     for (auto &[id, job] : state.jobs) {
         job.runningTasks = 0;
--- a/modules/filbert_work/work_state.h
+++ b/modules/filbert_work/work_state.h
@@ -28,7 +28,7 @@
     std::uint32_t failures = 0; // runs that failed
     std::string checkpoint; // the newest known one; if empty, the next run starts from scratch
     std::string target; // id of the current run's target, while Running
-    std::int64_t incarnation = 0; // incarnation of the target for which the run was started
+    std::int64_t incarnation = 0; // of the target when the run was ordered
 };
 
 /** The progress of one step in one occurrence of a job. */
@@ -54,10 +54,9 @@
     messages::staged_job job;
     job_status status = job_status::Queued;
     std::map<std::uint32_t, occurrence_record> occurrences; // those that have begun, by number
-    std::int64_t endedWallMs =
-        0; // by the wall clock of the leader at that time; 0 until it has ended
+    std::int64_t endedWallMs = 0; // by the leader's wall clock; 0 until the job has ended
     std::uint32_t runningTasks = 0; // derived: tasks that are running, in all occurrences
-    bool hasStarted = false; // once a task has started or the job has ended
+    bool hasStarted = false; // also true for a job that ended before any task started
 
     bool hasEnded() const
     {
@@ -76,8 +75,7 @@
     // Derived:
     std::set<task_name> runs; // on this incarnation, or on an earlier one of the same id
     resource_amounts used; // reserved by these runs
-    std::int64_t bestEffortCores =
-        0; // milli-cores of best-effort steps, which are not part of used
+    std::int64_t bestEffortCores = 0; // milli-cores of best-effort runs, which are not in used
     int latencySensitiveRuns = 0; // runs with a latency target
 };
 
@@ -130,12 +128,12 @@
 const messages::work_queue *findQueue(const messages::work_configuration &configuration,
                                       const std::string &name);
 
-/** @return the queue of a job as currently configured; if it was removed from the configuration, as
-    it was when the job was accepted */
+/** @return the queue of a job as it is configured now or, if it was removed from the configuration,
+    as it was when the job was accepted */
 const messages::work_queue &queueOf(const work_state &state, const work_job &job);
 
 /** @return whether a usage is within a cap @param cap a field of 0 is unlimited */
-bool isWithinCap(const resource_amounts &use, const messages::resources &cap);
+bool isWithinCap(const resource_amounts &usage, const messages::resources &cap);
 
 /** Computes all derived members from the stored ones, after a snapshot was read. */
 void rebuildDerivedState(work_state &state);
