--- a/modules/filbert_configuration/access_keys.cpp
+++ b/modules/filbert_configuration/access_keys.cpp
@@ -57,13 +57,13 @@
 
 generated_key generateKey(const std::string &id)
 {
-    generated_key made;
+    generated_key key;
     const auto secret = randomHex(secretBytes);
-    made.token = id + "." + secret;
-    made.storedKey.set_id(id);
-    made.storedKey.set_salt(randomHex(saltBytes));
-    made.storedKey.set_hash(hashOf(secret, made.storedKey.salt()));
-    return made;
+    key.token = id + "." + secret;
+    key.storedKey.set_id(id);
+    key.storedKey.set_salt(randomHex(saltBytes));
+    key.storedKey.set_hash(hashOf(secret, key.storedKey.salt()));
+    return key;
 }
 
 std::string_view keyIdOf(std::string_view token)
--- a/modules/filbert_configuration/cell_configuration.cpp
+++ b/modules/filbert_configuration/cell_configuration.cpp
@@ -13,11 +13,11 @@
 constexpr std::string_view queuePrefix = "queue/";
 constexpr std::string_view servicePrefix = "service/";
 constexpr std::string_view principalPrefix = "principal/";
-constexpr std::string_view cellPart = "cell";
+constexpr std::string_view cellKey = "cell";
 constexpr std::string_view operatorRole = "operator";
 constexpr std::string_view targetRole = "target";
 constexpr std::size_t maxNameBytes = 64;
-constexpr std::size_t namesInSummary = 8;
+constexpr std::size_t maxKeysInSummary = 8;
 
 template <typename Message>
 const Message *findIn(const std::unordered_map<std::string, Message> &map, const std::string &name)
@@ -26,7 +26,7 @@
     return found == map.end() ? nullptr : &found->second;
 }
 
-bool isName(const std::string &text)
+bool isValidName(const std::string &text)
 {
     return !text.empty() && text.size() <= maxNameBytes
         && std::all_of(text.begin(), text.end(), [](unsigned char c) {
@@ -35,7 +35,7 @@
 }
 
 template <typename Resources>
-bool isNegative(const Resources &r)
+bool hasNegativeAmount(const Resources &r)
 {
     return r.milli_cores() < 0 || r.memory_mb() < 0 || r.accelerators() < 0 || r.slots() < 0;
 }
@@ -54,7 +54,7 @@
     void requireUniqueName(const std::string &field, const std::string &name,
                            std::set<std::string> *seen)
     {
-        require(isName(name), field + ".name", "1 to 64 letters, digits, '-' or '_'");
+        require(isValidName(name), field + ".name", "1 to 64 letters, digits, '-' or '_'");
         require(seen->insert(name).second, field + ".name", "a unique name; already used: " + name);
     }
 
@@ -65,7 +65,7 @@
         for (int i = 0; i < keys.size(); ++i) {
             const auto path = field + ".keys[" + std::to_string(i) + "]";
             const auto &key = keys[i];
-            require(isName(key.id()), path + ".id", "1 to 64 letters, digits, '-' or '_'");
+            require(isValidName(key.id()), path + ".id", "1 to 64 letters, digits, '-' or '_'");
             require(seen->insert(key.id()).second, path + ".id",
                     "a unique id; already used: " + key.id());
             require(!key.salt().empty() && !key.hash().empty(), path,
@@ -76,7 +76,7 @@
     std::vector<configuration_problem> problems;
 };
 
-std::string indexed(const char *list, int index)
+std::string elementPath(const char *list, int index)
 {
     return std::string {list} + "[" + std::to_string(index) + "]";
 }
@@ -120,13 +120,13 @@
     std::int64_t version)
 {
     for (const auto &item : items) {
-        dropPart(item.key());
+        removeItem(item.key());
         if (!item.removed()) {
-            takePart(item.key(), item.value());
+            setItem(item.key(), item.value());
         }
     }
     currentVersion = version;
-    currentDigest = digestOfItems(parts);
+    currentDigest = digestOfItems(itemsByKey);
 }
 
 void cell_configuration::clear()
@@ -134,9 +134,9 @@
     *this = {};
 }
 
-void cell_configuration::takePart(const std::string &key, const std::string &value)
+void cell_configuration::setItem(const std::string &key, const std::string &value)
 {
-    parts[key] = value;
+    itemsByKey[key] = value;
     if (key.starts_with(teamPrefix)) {
         messages::team team;
         team.ParseFromString(value);
@@ -158,16 +158,16 @@
         addKeys(isOperator ? key_role::Operator : key_role::Target, principal.name(),
                 principal.keys());
         principalsByName[principal.name()] = std::move(principal);
-    } else if (key == cellPart) {
+    } else if (key == cellKey) {
         cellName = value;
     }
 }
 
-void cell_configuration::dropPart(const std::string &key)
+void cell_configuration::removeItem(const std::string &key)
 {
     const auto name = key.substr(key.find('/') + 1);
     if (key.starts_with(teamPrefix)) {
-        dropKeys(key_role::Team, name);
+        removeKeys(key_role::Team, name);
         teamsByName.erase(name);
     } else if (key.starts_with(queuePrefix)) {
         queuesByName.erase(name);
@@ -177,10 +177,10 @@
                key.starts_with(principalPrefix) && principal != nullptr) {
         const bool isOperator = principal->role() == operatorRole;
         operatorCount -= isOperator ? 1 : 0;
-        dropKeys(isOperator ? key_role::Operator : key_role::Target, name);
+        removeKeys(isOperator ? key_role::Operator : key_role::Target, name);
         principalsByName.erase(name);
     }
-    parts.erase(key);
+    itemsByKey.erase(key);
 }
 
 void cell_configuration::addKeys(
@@ -192,7 +192,7 @@
     }
 }
 
-void cell_configuration::dropKeys(key_role role, const std::string &name)
+void cell_configuration::removeKeys(key_role role, const std::string &name)
 {
     std::erase_if(keysById, [&](const auto &entry) {
         return entry.second.owner.role == role && entry.second.owner.name == name;
@@ -201,36 +201,36 @@
 
 messages::configuration cell_configuration::toMessage() const
 {
-    messages::configuration whole;
-    whole.set_cell(cellName);
-    for (const auto &[key, value] : parts) {
+    messages::configuration configuration;
+    configuration.set_cell(cellName);
+    for (const auto &[key, value] : itemsByKey) {
         if (key.starts_with(teamPrefix)) {
-            whole.add_teams()->ParseFromString(value);
+            configuration.add_teams()->ParseFromString(value);
         } else if (key.starts_with(queuePrefix)) {
-            whole.add_queues()->ParseFromString(value);
+            configuration.add_queues()->ParseFromString(value);
         } else if (key.starts_with(servicePrefix)) {
-            whole.add_services()->ParseFromString(value);
+            configuration.add_services()->ParseFromString(value);
         } else if (key.starts_with(principalPrefix)) {
-            whole.add_principals()->ParseFromString(value);
+            configuration.add_principals()->ParseFromString(value);
         }
     }
-    return whole;
+    return configuration;
 }
 
-std::map<std::string, std::string> itemsOf(const messages::configuration &whole)
+std::map<std::string, std::string> itemsOf(const messages::configuration &configuration)
 {
-    std::map<std::string, std::string> parts;
+    std::map<std::string, std::string> items;
     const auto addAll = [&](std::string_view prefix, const auto &list) {
-        for (const auto &part : list) {
-            parts[std::string {prefix} + part.name()] = part.SerializeAsString();
+        for (const auto &entry : list) {
+            items[std::string {prefix} + entry.name()] = entry.SerializeAsString();
         }
     };
-    parts[std::string {cellPart}] = whole.cell();
-    addAll(teamPrefix, whole.teams());
-    addAll(queuePrefix, whole.queues());
-    addAll(servicePrefix, whole.services());
-    addAll(principalPrefix, whole.principals());
-    return parts;
+    items[std::string {cellKey}] = configuration.cell();
+    addAll(teamPrefix, configuration.teams());
+    addAll(queuePrefix, configuration.queues());
+    addAll(servicePrefix, configuration.services());
+    addAll(principalPrefix, configuration.principals());
+    return items;
 }
 
 std::vector<messages::configuration_item>
@@ -239,8 +239,8 @@
 {
     std::vector<messages::configuration_item> items;
     for (const auto &[key, value] : to) {
-        const auto old = from.find(key);
-        if (old == from.end() || old->second != value) {
+        const auto previous = from.find(key);
+        if (previous == from.end() || previous->second != value) {
             auto &item = items.emplace_back();
             item.set_key(key);
             item.set_value(value);
@@ -256,15 +256,15 @@
     return items;
 }
 
-std::string digestOfItems(const std::map<std::string, std::string> &parts)
+std::string digestOfItems(const std::map<std::string, std::string> &items)
 {
-    std::string all;
-    for (const auto &[key, value] : parts) {
+    std::string digestInput;
+    for (const auto &[key, value] : items) {
         // Each text is preceded by its length, so that different sets give different input.
-        all.append(std::to_string(key.size())).append(":").append(key);
-        all.append(std::to_string(value.size())).append(":").append(value);
+        digestInput.append(std::to_string(key.size())).append(":").append(key);
+        digestInput.append(std::to_string(value.size())).append(":").append(value);
     }
-    return toHex(contentDigest(all));
+    return toHex(contentDigest(digestInput));
 }
 
 std::string summarizeChanges(const std::vector<messages::configuration_item> &items)
@@ -276,11 +276,11 @@
             if (item.removed() != removed) {
                 continue;
             }
-            if (++count <= namesInSummary) {
+            if (++count <= maxKeysInSummary) {
                 names += (names.empty() ? "" : ", ") + item.key();
             }
         }
-        if (count > namesInSummary) {
+        if (count > maxKeysInSummary) {
             names += ", ...";
         }
         return std::to_string(count) + (names.empty() ? "" : " (" + names + ")");
@@ -288,42 +288,44 @@
     return describe(false) + " set, " + describe(true) + " removed";
 }
 
-std::vector<configuration_problem> validateConfiguration(const messages::configuration &whole)
+std::vector<configuration_problem>
+validateConfiguration(const messages::configuration &configuration)
 {
     problem_list list;
-    list.require(isName(whole.cell()), "cell", "the name of the cell");
+    list.require(isValidName(configuration.cell()), "cell", "the name of the cell");
     std::set<std::string> teams;
     std::set<std::string> queues;
     std::set<std::string> services;
     std::set<std::string> principals;
     std::set<std::string> keys;
-    for (int i = 0; i < whole.teams_size(); ++i) {
-        const auto &team = whole.teams(i);
-        const auto path = indexed("teams", i);
+    for (int i = 0; i < configuration.teams_size(); ++i) {
+        const auto &team = configuration.teams(i);
+        const auto path = elementPath("teams", i);
         list.requireUniqueName(path, team.name(), &teams);
         list.require(team.share() > 0, path + ".share", "a number above 0");
-        list.require(!isNegative(team.upper_limit()), path + ".upper_limit", "no negative number");
+        list.require(!hasNegativeAmount(team.upper_limit()), path + ".upper_limit",
+                     "no negative number");
         list.requireKeys(path, team.keys(), &keys);
     }
-    for (int i = 0; i < whole.queues_size(); ++i) {
-        const auto &queue = whole.queues(i);
-        const auto path = indexed("queues", i);
+    for (int i = 0; i < configuration.queues_size(); ++i) {
+        const auto &queue = configuration.queues(i);
+        const auto path = elementPath("queues", i);
         list.requireUniqueName(path, queue.name(), &queues);
         list.require(!queue.open_to_all() || teams.contains(queue.team()), path + ".team",
                      "the name of the team to which the work of an open queue is charged");
         list.require(queue.max_waiting() >= 0, path + ".max_waiting", "0 or more");
     }
-    for (int i = 0; i < whole.services_size(); ++i) {
-        const auto &service = whole.services(i);
-        const auto path = indexed("services", i);
+    for (int i = 0; i < configuration.services_size(); ++i) {
+        const auto &service = configuration.services(i);
+        const auto path = elementPath("services", i);
         list.requireUniqueName(path, service.name(), &services);
         list.require(queues.contains(service.queue()), path + ".queue", "the name of a queue");
-        list.require(!isNegative(service.task()), path + ".task", "no negative number");
+        list.require(!hasNegativeAmount(service.task()), path + ".task", "no negative number");
         list.require(service.deadline_ms() >= 0, path + ".deadline_ms", "0 or more");
     }
-    for (int i = 0; i < whole.principals_size(); ++i) {
-        const auto &principal = whole.principals(i);
-        const auto path = indexed("principals", i);
+    for (int i = 0; i < configuration.principals_size(); ++i) {
+        const auto &principal = configuration.principals(i);
+        const auto path = elementPath("principals", i);
         list.requireUniqueName(path, principal.name(), &principals);
         list.require(principal.role() == operatorRole || principal.role() == targetRole,
                      path + ".role", "operator or target");
--- a/modules/filbert_configuration/cell_configuration.h
+++ b/modules/filbert_configuration/cell_configuration.h
@@ -32,13 +32,13 @@
     std::string keyId;
 };
 
-/** The configuration that a process applies, with fast look-ups for each request. */
+/** The configuration that a process applies, with look-ups by name and key for each request. */
 class cell_configuration
 {
 public:
     std::int64_t version() const { return currentVersion; }
     const std::string &digest() const { return currentDigest; }
-    const std::map<std::string, std::string> &items() const { return parts; }
+    const std::map<std::string, std::string> &items() const { return itemsByKey; }
 
     const messages::team *team(const std::string &name) const;
     const messages::queue *queue(const std::string &name) const;
@@ -86,13 +86,13 @@
         messages::access_key key;
     };
 
-    void takePart(const std::string &key, const std::string &value);
-    void dropPart(const std::string &key);
+    void setItem(const std::string &key, const std::string &value);
+    void removeItem(const std::string &key);
     void addKeys(key_role role, const std::string &name,
                  const google::protobuf::RepeatedPtrField<messages::access_key> &keys);
-    void dropKeys(key_role role, const std::string &name);
+    void removeKeys(key_role role, const std::string &name);
 
-    std::map<std::string, std::string> parts;
+    std::map<std::string, std::string> itemsByKey;
     std::unordered_map<std::string, messages::team> teamsByName;
     std::unordered_map<std::string, messages::queue> queuesByName;
     std::unordered_map<std::string, messages::service> servicesByName;
@@ -105,7 +105,7 @@
 };
 
 /** Splits a configuration into its items, serialized messages by key. */
-std::map<std::string, std::string> itemsOf(const messages::configuration &whole);
+std::map<std::string, std::string> itemsOf(const messages::configuration &configuration);
 
 /** @return the items to set and to remove to get from one set of items to another */
 std::vector<messages::configuration_item>
@@ -113,17 +113,20 @@
                const std::map<std::string, std::string> &to);
 
 /** @return a digest of a set of items, in hexadecimal; equal sets have equal digests */
-std::string digestOfItems(const std::map<std::string, std::string> &parts);
+std::string digestOfItems(const std::map<std::string, std::string> &items);
 
-/** Describes a change for the audit log, e.g. "2 set (team/orders, queue/quotes), 0 removed". At
-   most 8 keys of either kind are named. */
+/** Describes a change for the audit log, e.g. "2 set (team/orders, queue/quotes), 0 removed".
+
+    At most 8 keys of either kind are named.
+*/
 std::string summarizeChanges(const std::vector<messages::configuration_item> &items);
 
-/** Validates a configuration that has been read: values out of range, missing or duplicate names,
-   and references to names that do not exist.
+/** Finds values that are out of range, missing or duplicate names, and references to names that do
+    not exist.
 
     @return all problems, without file and line, which the reader adds
 */
-std::vector<configuration_problem> validateConfiguration(const messages::configuration &whole);
+std::vector<configuration_problem>
+validateConfiguration(const messages::configuration &configuration);
 
 } // namespace filbert
--- a/modules/filbert_configuration/configuration_reader.cpp
+++ b/modules/filbert_configuration/configuration_reader.cpp
@@ -76,7 +76,7 @@
         problems->push_back({file, node.Mark().line + 1, field, expected});
     }
 
-    void noteLine(const YAML::Node &node, const std::string &field)
+    void recordLine(const YAML::Node &node, const std::string &field)
     {
         lines->insert_or_assign(field, std::pair {file, node.Mark().line + 1});
     }
@@ -92,7 +92,7 @@
         for (const auto &element : node) {
             const auto index = reflection->FieldSize(*message, descriptor);
             const auto field = path + "[" + std::to_string(index) + "]";
-            noteLine(element, field);
+            recordLine(element, field);
             readMessage(element, field, reflection->AddMessage(message, descriptor), depth + 1);
         }
     }
@@ -100,7 +100,7 @@
     void readField(const YAML::Node &node, const std::string &path, Message *message,
                    const FieldDescriptor *descriptor, int depth)
     {
-        noteLine(node, path);
+        recordLine(node, path);
         const auto *reflection = message->GetReflection();
         if (descriptor->cpp_type() == FieldDescriptor::CPPTYPE_MESSAGE) {
             readMessage(node, path, reflection->MutableMessage(message, descriptor), depth + 1);
@@ -177,8 +177,9 @@
     line_table *lines;
 };
 
-void readText(const std::string &name, const std::string &text, messages::configuration *whole,
-              std::vector<configuration_problem> *problems, line_table *lines)
+void parseText(const std::string &name, const std::string &text,
+               messages::configuration *configuration, std::vector<configuration_problem> *problems,
+               line_table *lines)
 {
     if (text.size() > maxFileBytes) {
         problems->push_back({name, 0, "", "at most 8 MiB"});
@@ -187,20 +188,21 @@
     try {
         const auto node = YAML::Load(text);
         if (!node.IsNull()) {
-            node_reader {name, problems, lines}.readMessage(node, "", whole, 0);
+            node_reader {name, problems, lines}.readMessage(node, "", configuration, 0);
         }
     } catch (const YAML::Exception &error) {
         problems->push_back({name, error.mark.line + 1, "", "YAML: " + error.msg});
     }
 }
 
-std::error_code finish(const messages::configuration &whole,
-                       std::vector<configuration_problem> *problems, const line_table &lines)
+std::error_code addValidationProblems(const messages::configuration &configuration,
+                                      std::vector<configuration_problem> *problems,
+                                      const line_table &lines)
 {
     if (!problems->empty()) {
         return error_kind::Malformed;
     }
-    for (auto problem : validateConfiguration(whole)) {
+    for (auto problem : validateConfiguration(configuration)) {
         // A field that is absent from the file gets the line of the nearest enclosing one.
         for (std::string field = problem.field; !field.empty();) {
             if (const auto found = lines.find(field); found != lines.end()) {
@@ -208,8 +210,8 @@
                 problem.line = found->second.second;
                 break;
             }
-            const auto cut = field.find_last_of(".[");
-            field.resize(cut == std::string::npos ? 0 : cut);
+            const auto separator = field.find_last_of(".[");
+            field.resize(separator == std::string::npos ? 0 : separator);
         }
         problems->push_back(std::move(problem));
     }
@@ -219,7 +221,7 @@
 } // namespace
 
 std::error_code readConfiguration(const std::vector<std::string> &paths,
-                                  messages::configuration *whole,
+                                  messages::configuration *configuration,
                                   std::vector<configuration_problem> *problems)
 {
     line_table lines;
@@ -231,18 +233,18 @@
         }
         std::ostringstream text;
         text << stream.rdbuf();
-        readText(path, text.str(), whole, problems, &lines);
+        parseText(path, text.str(), configuration, problems, &lines);
     }
-    return finish(*whole, problems, lines);
+    return addValidationProblems(*configuration, problems, lines);
 }
 
 std::error_code readConfigurationText(const std::string &name, const std::string &text,
-                                      messages::configuration *whole,
+                                      messages::configuration *configuration,
                                       std::vector<configuration_problem> *problems)
 {
     line_table lines;
-    readText(name, text, whole, problems, &lines);
-    return finish(*whole, problems, lines);
+    parseText(name, text, configuration, problems, &lines);
+    return addValidationProblems(*configuration, problems, lines);
 }
 
 } // namespace filbert
--- a/modules/filbert_configuration/tests/configuration_reader_test.cpp
+++ b/modules/filbert_configuration/tests/configuration_reader_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr const char *small = R"(cell: morava
+constexpr const char *smallConfiguration = R"(cell: morava
 teams:
   - {name: orders, share: 2, upper_limit: {slots: 4}}
 queues:
@@ -18,9 +18,9 @@
 
 std::vector<configuration_problem> problemsOf(const std::string &text)
 {
-    messages::configuration whole;
+    messages::configuration intended;
     std::vector<configuration_problem> problems;
-    readConfigurationText("cell.yaml", text, &whole, &problems);
+    readConfigurationText("cell.yaml", text, &intended, &problems);
     return problems;
 }
 
@@ -28,12 +28,12 @@
 
 TEST_CASE("a valid configuration is read")
 {
-    messages::configuration whole;
+    messages::configuration intended;
     std::vector<configuration_problem> problems;
-    REQUIRE_FALSE(readConfigurationText("cell.yaml", small, &whole, &problems));
-    CHECK(whole.teams(0).upper_limit().slots() == 4);
-    CHECK_FALSE(whole.teams(0).upper_limit().has_milli_cores());
-    CHECK(whole.services(0).idempotent());
+    REQUIRE_FALSE(readConfigurationText("cell.yaml", smallConfiguration, &intended, &problems));
+    CHECK(intended.teams(0).upper_limit().slots() == 4);
+    CHECK_FALSE(intended.teams(0).upper_limit().has_milli_cores());
+    CHECK(intended.services(0).idempotent());
 }
 
 TEST_CASE("a problem states its file, line and field, and what was expected")
@@ -59,17 +59,17 @@
 TEST_CASE("malformed text leads to reported problems and to no other failure")
 {
     checkProperty("arbitrary bytes", [](const std::string &text) {
-        messages::configuration whole;
+        messages::configuration intended;
         std::vector<configuration_problem> problems;
-        const auto error = readConfigurationText("any", text, &whole, &problems);
+        const auto error = readConfigurationText("any", text, &intended, &problems);
         RC_ASSERT(static_cast<bool>(error) == !problems.empty());
     });
     checkProperty("valid text with one byte changed", [] {
-        std::string text = small;
+        std::string text = smallConfiguration;
         text[*rc::gen::inRange<std::size_t>(0, text.size())] = *rc::gen::arbitrary<char>();
-        messages::configuration whole;
+        messages::configuration intended;
         std::vector<configuration_problem> problems;
-        const auto error = readConfigurationText("any", text, &whole, &problems);
+        const auto error = readConfigurationText("any", text, &intended, &problems);
         RC_ASSERT(static_cast<bool>(error) == !problems.empty());
     });
 }
@@ -78,41 +78,41 @@
 {
     checkProperty([](const std::map<std::string, std::string> &from,
                      const std::map<std::string, std::string> &to) {
-        auto parts = from;
+        auto items = from;
         for (const auto &item : changesBetween(from, to)) {
             if (item.removed()) {
-                parts.erase(item.key());
+                items.erase(item.key());
             } else {
-                parts[item.key()] = item.value();
+                items[item.key()] = item.value();
             }
         }
-        RC_ASSERT(parts == to);
+        RC_ASSERT(items == to);
         RC_ASSERT((digestOfItems(from) == digestOfItems(to)) == (from == to));
     });
 }
 
 TEST_CASE("a key is accepted only with its own secret and until it is revoked")
 {
-    const auto made = generateKey("desk");
-    messages::configuration whole;
+    const auto key = generateKey("desk");
+    messages::configuration intended;
     std::vector<configuration_problem> problems;
-    readConfigurationText("cell.yaml", small, &whole, &problems);
-    *whole.mutable_teams(0)->add_keys() = made.storedKey;
+    readConfigurationText("cell.yaml", smallConfiguration, &intended, &problems);
+    *intended.mutable_teams(0)->add_keys() = key.storedKey;
     cell_configuration configuration;
     google::protobuf::RepeatedPtrField<messages::configuration_item> items;
-    const auto added = changesBetween({}, itemsOf(whole));
+    const auto added = changesBetween({}, itemsOf(intended));
     items.Assign(added.begin(), added.end());
     configuration.applyChanges(items, 1);
     key_owner owner;
-    CHECK_FALSE(configuration.authenticate(made.token, &owner));
+    CHECK_FALSE(configuration.authenticate(key.token, &owner));
     CHECK(owner.name == "orders");
     CHECK(configuration.authenticate("desk.0000", &owner));
     CHECK(configuration.authenticate("desk", &owner));
-    CHECK(made.storedKey.hash().find(secretOf(made.token)) == std::string::npos);
+    CHECK(key.storedKey.hash().find(secretOf(key.token)) == std::string::npos);
 
-    whole.mutable_teams(0)->clear_keys();
-    const auto withdrawn = changesBetween(configuration.items(), itemsOf(whole));
-    items.Assign(withdrawn.begin(), withdrawn.end());
+    intended.mutable_teams(0)->clear_keys();
+    const auto revoked = changesBetween(configuration.items(), itemsOf(intended));
+    items.Assign(revoked.begin(), revoked.end());
     configuration.applyChanges(items, 2);
-    CHECK(configuration.authenticate(made.token, &owner) == error_kind::Unauthorized);
+    CHECK(configuration.authenticate(key.token, &owner) == error_kind::Unauthorized);
 }
