--- a/modules/filbert_policy/placement_pass.cpp
+++ b/modules/filbert_policy/placement_pass.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 constexpr milliseconds preemptionPause {2'000}; // between two preemptions for one work item
-constexpr milliseconds unknownRunTime {3'600'000}; // assumed for tasks without an estimate
-constexpr std::size_t keptEnded = 256; // removed work ids that a team's queue may always hold
+constexpr milliseconds defaultRunTime {3'600'000}; // assumed for tasks without an estimate
+constexpr std::size_t maxRemovedIds = 256; // removed work ids that a team's queue may always hold
 
 /** Whether the policy has the reserve, preemption and reservations that come with work classes. */
-bool usesClasses(const scheduler_state &state)
+bool usesWorkClasses(const scheduler_state &state)
 {
     return state.settings.kind == policy_kind::Filbert;
 }
 
-std::uint64_t releasesOf(const scheduler_state &state, const std::string &service)
+std::uint64_t releaseCountOf(const scheduler_state &state, const std::string &service)
 {
     const auto pool = state.index.pools.find(service);
     return pool == state.index.pools.end() ? 0 : pool->second.releaseCount;
@@ -29,7 +29,7 @@
 bool leavesUrgentReserve(const scheduler_state &state, const target_entry &target,
                          const resource_amounts &need)
 {
-    if (!usesClasses(state)) {
+    if (!usesWorkClasses(state)) {
         return true;
     }
     return std::all_of(target.services.begin(), target.services.end(), [&](const auto &service) {
@@ -37,9 +37,10 @@
             return true;
         }
         const auto &pool = state.index.pools.at(service);
-        const auto part = 1 - state.settings.urgentReserveFraction;
-        const auto isWithin = [&](std::int64_t used, std::int64_t more, std::int64_t capacity) {
-            return static_cast<double>(used + more) <= static_cast<double>(capacity) * part;
+        const auto usableFraction = 1 - state.settings.urgentReserveFraction;
+        const auto isWithin = [&](std::int64_t used, std::int64_t added, std::int64_t capacity) {
+            return static_cast<double>(used + added)
+                <= static_cast<double>(capacity) * usableFraction;
         };
         return isWithin(pool.used.milliCores, need.milliCores, pool.capacity.milliCores)
             && isWithin(pool.used.slots, need.slots, pool.capacity.slots);
@@ -51,25 +52,27 @@
 {
     if (state.settings.kind == policy_kind::Filbert) {
         const auto found = findTarget(state.index, item.service, item.need, item.excludedTargets);
-        const bool isChoosy = item.kind != work_class::Urgent || item.excludedTargets.empty();
+        const bool isExclusionStrict =
+            item.kind != work_class::Urgent || item.excludedTargets.empty();
         // A caller waits, so a target that failed recently is better than none.
-        return found >= 0 || isChoosy ? found
-                                      : findTarget(state.index, item.service, item.need, {});
+        return found >= 0 || isExclusionStrict
+            ? found
+            : findTarget(state.index, item.service, item.need, {});
     }
     return findFirstTarget(state.index, item.service, item.need);
 }
 
 /** Starts a task: its resources are in use from now on. */
-void take(scheduler_state &state, const work_item &item, std::int32_t task, std::uint32_t target,
-          time_point now, schedule_result *result)
+void startTask(scheduler_state &state, const work_item &item, std::int32_t taskIndex,
+               std::uint32_t target, time_point now, schedule_result *result)
 {
-    const auto placement = state.nextPlacementId++;
+    const auto placementId = state.nextPlacementId++;
     auto &team = state.teams[item.team];
-    settleHistory(state, team, now);
-    running_task running {target,       item.workId,       task,      item.kind, item.team,
+    updateUsageHistory(state, team, now);
+    running_task running {target,       item.workId,       taskIndex, item.kind, item.team,
                           item.service, estimateKey(item), item.need, now,       item.isIdempotent};
-    addRunningTask(state, placement, std::move(running));
-    result->placements.push_back({placement, item.workId, task, target});
+    addRunningTask(state, placementId, std::move(running));
+    result->placements.push_back({placementId, item.workId, taskIndex, target});
 }
 
 /** Stops idempotent batch tasks so that an urgent task fits.
@@ -81,53 +84,53 @@
 {
     const bool isTooEarly = now - item.waitingSince < state.settings.preemptionDelay
         || (item.preemptedAt.ms != 0 && now - item.preemptedAt < preemptionPause);
-    if (!usesClasses(state) || isTooEarly) {
+    if (!usesWorkClasses(state) || isTooEarly) {
         return;
     }
     std::vector<std::uint64_t> best;
     std::int64_t bestLoss = std::numeric_limits<std::int64_t>::max();
-    std::size_t looked = 0;
+    std::size_t scanned = 0;
     const auto count = state.index.targets.size();
-    for (std::size_t i = 0; i < count && looked < state.settings.maxPreemptionCandidates; ++i) {
+    for (std::size_t i = 0; i < count && scanned < state.settings.maxPreemptionCandidates; ++i) {
         const auto number = (i + static_cast<std::size_t>(item.workId)) % count;
         const auto &target = state.index.targets[number];
-        if (!target.isEligible || !offers(target, item.service)) {
+        if (!target.isEligible || !offersService(target, item.service)) {
             continue;
         }
-        ++looked;
+        ++scanned;
         std::vector<std::pair<std::int64_t, std::uint64_t>> victims; // run time lost, placement id
-        for (const auto placement : state.runningOnTarget[number]) {
-            const auto &task = state.running.at(placement);
+        for (const auto placementId : state.runningOnTarget[number]) {
+            const auto &task = state.running.at(placementId);
             if (task.kind == work_class::Batch && task.isIdempotent && !task.isStopping) {
-                victims.emplace_back((now - task.startedAt).count, placement);
+                victims.emplace_back((now - task.startedAt).count, placementId);
             }
         }
         std::sort(victims.begin(), victims.end());
-        auto room = freeResources(target);
+        auto available = freeResources(target);
         std::int64_t loss = 0;
         std::vector<std::uint64_t> chosen;
-        for (const auto &[lost, placement] : victims) {
-            if (fitsWithin(item.need, room)) {
+        for (const auto &[lost, placementId] : victims) {
+            if (fitsWithin(item.need, available)) {
                 break;
             }
-            room += state.running.at(placement).need;
+            available += state.running.at(placementId).need;
             loss += lost;
-            chosen.push_back(placement);
+            chosen.push_back(placementId);
         }
-        if (fitsWithin(item.need, room) && !chosen.empty() && loss < bestLoss) {
+        if (fitsWithin(item.need, available) && !chosen.empty() && loss < bestLoss) {
             bestLoss = loss;
             best = std::move(chosen);
         }
     }
-    for (const auto placement : best) {
-        state.running.at(placement).isStopping = true;
-        result->stops.push_back({placement});
+    for (const auto placementId : best) {
+        state.running.at(placementId).isStopping = true;
+        result->stops.push_back({placementId});
         item.preemptedAt = now;
     }
 }
 
 /** Whether a target belongs to a pool that is reserved for a gang. */
-bool isHeldForGang(const scheduler_state &state, const target_entry &target)
+bool isReservedForGang(const scheduler_state &state, const target_entry &target)
 {
     return !state.poolReservations.empty()
         && std::any_of(target.services.begin(), target.services.end(), [&](const auto &service) {
@@ -136,7 +139,7 @@
 }
 
 /** Starts one task of an urgent or batch work item, if it fits. */
-bool placeOne(scheduler_state &state, work_item &item, time_point now, schedule_result *result)
+bool placeTask(scheduler_state &state, work_item &item, time_point now, schedule_result *result)
 {
     const auto target = chooseTarget(state, item);
     if (target < 0) {
@@ -148,24 +151,25 @@
     const auto number = static_cast<std::uint32_t>(target);
     const auto &chosen = state.index.targets[number];
     if (item.kind != work_class::Urgent
-        && (isHeldForGang(state, chosen) || !leavesUrgentReserve(state, chosen, item.need))) {
+        && (isReservedForGang(state, chosen) || !leavesUrgentReserve(state, chosen, item.need))) {
         return false;
     }
-    const auto task = item.tasks.back();
+    const auto taskIndex = item.tasks.back();
     item.tasks.pop_back();
-    take(state, item, task, number, now, result);
+    startTask(state, item, taskIndex, number, now, result);
     return true;
 }
 
 /** @return how long until all tasks of a target have ended, by what is known of their run times */
-milliseconds expectedEnd(const scheduler_state &state, std::uint32_t target, time_point now)
+milliseconds timeUntilIdle(const scheduler_state &state, std::uint32_t target, time_point now)
 {
     milliseconds latest;
-    for (const auto placement : state.runningOnTarget[target]) {
-        const auto &task = state.running.at(placement);
-        const auto known = state.usageEstimates.find(task.estimateKey);
-        const bool isKnown = known != state.usageEstimates.end() && known->second.runTime.count > 0;
-        const auto runTime = isKnown ? known->second.runTime : unknownRunTime;
+    for (const auto placementId : state.runningOnTarget[target]) {
+        const auto &task = state.running.at(placementId);
+        const auto estimate = state.usageEstimates.find(task.estimateKey);
+        const bool hasEstimate =
+            estimate != state.usageEstimates.end() && estimate->second.runTime.count > 0;
+        const auto runTime = hasEstimate ? estimate->second.runTime : defaultRunTime;
         latest = std::max(latest, runTime - (now - task.startedAt));
     }
     return latest;
@@ -174,11 +178,11 @@
 /** Whether some target has the capacity for two tasks of a gang, so that the gang need not wait for
     whole targets: resources that are freed on any of them add up.
 */
-bool canGatherAnywhere(const scheduler_state &state, const work_item &item)
+bool canShareTargets(const scheduler_state &state, const work_item &item)
 {
     return std::any_of(state.index.targets.begin(), state.index.targets.end(),
                        [&](const auto &target) {
-                           return target.isEligible && offers(target, item.service)
+                           return target.isEligible && offersService(target, item.service)
                                && fitsWithin(item.need + item.need, target.capacity);
                        });
 }
@@ -191,26 +195,26 @@
     std::vector<std::pair<std::int64_t, std::uint32_t>> candidates;
     for (std::uint32_t i = 0; i < state.index.targets.size(); ++i) {
         const auto &target = state.index.targets[i];
-        if (target.isEligible && target.reservedFor == 0 && offers(target, item.service)
+        if (target.isEligible && target.reservedFor == 0 && offersService(target, item.service)
             && fitsWithin(item.need, target.capacity)) {
-            candidates.emplace_back(expectedEnd(state, i, now).count, i);
+            candidates.emplace_back(timeUntilIdle(state, i, now).count, i);
         }
     }
     std::sort(candidates.begin(), candidates.end());
-    std::size_t held = 0;
+    std::size_t placeable = 0;
     std::vector<std::uint32_t> chosen;
     for (const auto &[end, number] : candidates) {
-        auto room = state.index.targets[number].capacity;
-        while (held < item.tasks.size() && fitsWithin(item.need, room)) {
-            room -= item.need;
-            ++held;
+        auto available = state.index.targets[number].capacity;
+        while (placeable < item.tasks.size() && fitsWithin(item.need, available)) {
+            available -= item.need;
+            ++placeable;
         }
         chosen.push_back(number);
-        if (held >= item.tasks.size()) {
+        if (placeable >= item.tasks.size()) {
             break;
         }
     }
-    if (held < item.tasks.size()) {
+    if (placeable < item.tasks.size()) {
         return;
     }
     for (const auto number : chosen) {
@@ -226,9 +230,9 @@
     ended anywhere in the pool. If each of its tasks fills a target, it needs whole targets, so some
     targets are reserved and drained of their tasks.
 */
-void reserveFor(scheduler_state &state, const work_item &item, time_point now)
+void reserveForGang(scheduler_state &state, const work_item &item, time_point now)
 {
-    if (!canGatherAnywhere(state, item)) {
+    if (!canShareTargets(state, item)) {
         reserveTargets(state, item, now);
     } else if (!state.poolReservations.contains(item.service)) {
         state.poolReservations[item.service] = item.workId;
@@ -236,10 +240,11 @@
 }
 
 /** Ends the reservation of a pool for a gang, if there is one. */
-void endHold(scheduler_state &state, std::uint64_t ticket)
+void releasePool(scheduler_state &state, std::uint64_t workId)
 {
-    const auto ended = std::erase_if(state.poolReservations,
-                                     [&](const auto &hold) { return hold.second == ticket; });
+    const auto ended = std::erase_if(state.poolReservations, [&](const auto &reservation) {
+        return reservation.second == workId;
+    });
     if (ended > 0) {
         // Work of any pool that shares targets with this one may be blocked and can now be retried.
         for (auto &[name, pool] : state.index.pools) {
@@ -251,7 +256,7 @@
 /** Whether the total of a pool's free resources suffices for a gang. This cheap check comes before
     the search for targets.
 */
-bool hasRoomInSum(const scheduler_state &state, const work_item &item)
+bool hasTotalCapacity(const scheduler_state &state, const work_item &item)
 {
     const auto pool = state.index.pools.find(item.service);
     if (pool == state.index.pools.end()) {
@@ -273,13 +278,13 @@
         }
     }
     std::vector<std::uint32_t> chosen;
-    const auto toPlace = hasRoomInSum(state, item) ? item.tasks.size() : 0;
-    for (std::size_t i = 0; i < toPlace; ++i) {
+    const auto taskCount = hasTotalCapacity(state, item) ? item.tasks.size() : 0;
+    for (std::size_t i = 0; i < taskCount; ++i) {
         const auto target = chooseTarget(state, item);
-        const bool isGood = target >= 0
+        const bool isSuitable = target >= 0
             && leavesUrgentReserve(state, state.index.targets[static_cast<std::size_t>(target)],
                                    item.need);
-        if (!isGood) {
+        if (!isSuitable) {
             break;
         }
         chosen.push_back(static_cast<std::uint32_t>(target));
@@ -293,16 +298,16 @@
             for (const auto number : reserved->second) {
                 setReservation(state.index, number, item.workId);
             }
-        } else if (usesClasses(state)
+        } else if (usesWorkClasses(state)
                    && now - item.waitingSince >= state.settings.gangReservationDelay) {
-            reserveFor(state, item, now);
+            reserveForGang(state, item, now);
         }
         return false;
     }
     state.targetReservations.erase(item.workId);
-    endHold(state, item.workId);
+    releasePool(state, item.workId);
     for (std::size_t i = 0; i < chosen.size(); ++i) {
-        take(state, item, item.tasks[i], chosen[i], now, result);
+        startTask(state, item, item.tasks[i], chosen[i], now, result);
     }
     item.tasks.clear();
     return true;
@@ -315,80 +320,80 @@
     if (item.notBefore > now || item.tasks.empty() || isIncomplete) {
         return false;
     }
-    const bool mayReserve = item.kind == work_class::Gang && usesClasses(state)
+    const bool mayReserve = item.kind == work_class::Gang && usesWorkClasses(state)
         && now - item.waitingSince >= state.settings.gangReservationDelay
         && !state.targetReservations.contains(item.workId)
         && !state.poolReservations.contains(item.service);
-    const bool mayPreempt = item.kind == work_class::Urgent && usesClasses(state)
+    const bool mayPreempt = item.kind == work_class::Urgent && usesWorkClasses(state)
         && now - item.waitingSince >= state.settings.preemptionDelay;
     return !item.isBlocked || mayReserve || mayPreempt
-        || item.releaseCountWhenBlocked != releasesOf(state, item.service);
+        || item.releaseCountWhenBlocked != releaseCountOf(state, item.service);
 }
 
 /** Whether the next start of a work item keeps its team within the upper limit. */
 bool isWithinLimit(const scheduler_state &state, const work_item &item)
 {
     const auto &team = state.teams.at(item.team);
-    const auto together = item.kind == work_class::Gang ? item.tasks.size() : 1;
-    return fitsWithin(team.used + scaledBy(item.need, together), team.limit);
+    const auto taskCount = item.kind == work_class::Gang ? item.tasks.size() : 1;
+    return fitsWithin(team.used + scaledBy(item.need, taskCount), team.limit);
 }
 
 /** Removes the ids of work that no longer waits from a team's queue. The queue is rebuilt only when
     more than half of it may be removed, so the amortized cost is constant for each id.
 */
-void removeEnded(const scheduler_state &state, const team_state &team, work_class kind,
-                 std::deque<std::uint64_t> *queue)
+void discardRemovedIds(const scheduler_state &state, const team_state &team, work_class kind,
+                       std::deque<std::uint64_t> *queue)
 {
     while (!queue->empty() && !state.waiting.contains(queue->front())) {
         queue->pop_front();
     }
     const auto waiting = team.waitingCount[static_cast<std::size_t>(kind)];
-    if (queue->size() <= 2 * waiting + keptEnded) {
+    if (queue->size() <= 2 * waiting + maxRemovedIds) {
         return;
     }
     std::unordered_set<std::uint64_t> seen; // work that was queued again is in the queue twice
-    std::erase_if(*queue, [&](auto ticket) {
-        return !state.waiting.contains(ticket) || !seen.insert(ticket).second;
+    std::erase_if(*queue, [&](auto workId) {
+        return !state.waiting.contains(workId) || !seen.insert(workId).second;
     });
 }
 
 /** Removes a work item all of whose tasks have started. */
-void finishItem(scheduler_state &state, std::uint64_t ticket)
+void removeIfStarted(scheduler_state &state, std::uint64_t workId)
 {
-    const auto &item = state.waiting.at(ticket);
+    const auto &item = state.waiting.at(workId);
     if (item.tasks.empty()) {
         --state.teams[item.team].waitingCount[static_cast<std::size_t>(item.kind)];
-        state.waiting.erase(ticket);
+        state.waiting.erase(workId);
     }
 }
 
 /** Starts the first of a team's work items that fits. @return whether one was started */
-bool placeFrom(scheduler_state &state, team_state &team, const std::vector<work_class> &classes,
-               time_point now, schedule_result *result)
+bool placeNextOf(scheduler_state &state, team_state &team, const std::vector<work_class> &classes,
+                 time_point now, schedule_result *result)
 {
     for (const auto kind : classes) {
         auto &queue = team.waitingIds[static_cast<std::size_t>(kind)];
-        removeEnded(state, team, kind, &queue);
-        std::size_t looked = 0;
-        for (std::size_t i = 0; i < queue.size() && looked < state.settings.maxItemsScanned; ++i) {
-            const auto ticket = queue[i];
-            const auto found = state.waiting.find(ticket);
+        discardRemovedIds(state, team, kind, &queue);
+        std::size_t scanned = 0;
+        for (std::size_t i = 0; i < queue.size() && scanned < state.settings.maxItemsScanned; ++i) {
+            const auto workId = queue[i];
+            const auto found = state.waiting.find(workId);
             if (found == state.waiting.end()) {
                 continue;
             }
             auto &item = found->second;
-            ++looked;
+            ++scanned;
             if (!isWorthTrying(state, item, now) || !isWithinLimit(state, item)) {
                 continue;
             }
             const bool isPlaced = kind == work_class::Gang ? placeGang(state, item, now, result)
-                                                           : placeOne(state, item, now, result);
+                                                           : placeTask(state, item, now, result);
             if (isPlaced) {
-                finishItem(state, ticket);
+                removeIfStarted(state, workId);
                 return true;
             }
             item.isBlocked = true;
-            item.releaseCountWhenBlocked = releasesOf(state, item.service);
+            item.releaseCountWhenBlocked = releaseCountOf(state, item.service);
         }
     }
     return false;
@@ -400,8 +405,8 @@
 {
     time_point oldest {std::numeric_limits<std::int64_t>::max()};
     for (const auto kind : classes) {
-        for (const auto ticket : team.waitingIds[static_cast<std::size_t>(kind)]) {
-            const auto found = state.waiting.find(ticket);
+        for (const auto workId : team.waitingIds[static_cast<std::size_t>(kind)]) {
+            const auto found = state.waiting.find(workId);
             if (found != state.waiting.end()) {
                 oldest = std::min(oldest, found->second.waitingSince);
                 break;
@@ -412,63 +417,63 @@
 }
 
 /** A team that has work waiting, during a pass. */
-struct contender
+struct competing_team
 {
     team_state *team = nullptr;
-    double use = 0;
+    double usage = 0; // weighted by the share
     time_point oldest;
     bool isExhausted = false; // nothing more of it can start in this pass
 };
 
-bool comesBefore(const contender &a, const contender &b)
+bool goesBefore(const competing_team &a, const competing_team &b)
 {
-    return a.use != b.use ? a.use < b.use : a.oldest < b.oldest;
+    return a.usage != b.usage ? a.usage < b.usage : a.oldest < b.oldest;
 }
 
 } // namespace
 
-void expireUrgent(scheduler_state &state, time_point now, schedule_result *result)
+void expireUrgentWork(scheduler_state &state, time_point now, schedule_result *result)
 {
     while (!state.startDeadlines.empty() && state.startDeadlines.begin()->first <= now) {
-        const auto ticket = state.startDeadlines.begin()->second;
+        const auto workId = state.startDeadlines.begin()->second;
         state.startDeadlines.erase(state.startDeadlines.begin());
-        const auto found = state.waiting.find(ticket);
+        const auto found = state.waiting.find(workId);
         if (found == state.waiting.end()) {
             continue;
         }
         const bool isLimit = !isWithinLimit(state, found->second);
         result->refusals.push_back(
-            {ticket, isLimit ? error_kind::LimitReached : error_kind::NoCapacity});
-        removeWork(state, ticket);
+            {workId, isLimit ? error_kind::LimitReached : error_kind::NoCapacity});
+        removeWork(state, workId);
     }
 }
 
-void runPass(scheduler_state &state, const std::vector<work_class> &classes, time_point now,
-             schedule_result *result)
+void runPlacementPass(scheduler_state &state, const std::vector<work_class> &classes,
+                      time_point now, schedule_result *result)
 {
-    std::vector<contender> contenders;
+    std::vector<competing_team> competitors;
     for (auto &entry : state.teams) {
         auto &team = entry.second;
         const bool hasWork = std::any_of(classes.begin(), classes.end(), [&](auto kind) {
             return team.waitingCount[static_cast<std::size_t>(kind)] > 0;
         });
         if (hasWork) {
-            contenders.push_back(
+            competitors.push_back(
                 {&team, weightedUsage(state, team, now), oldestWaiting(state, team, classes)});
         }
     }
     while (true) {
-        contender *best = nullptr;
-        for (auto &each : contenders) {
-            if (!each.isExhausted && (best == nullptr || comesBefore(each, *best))) {
+        competing_team *best = nullptr;
+        for (auto &each : competitors) {
+            if (!each.isExhausted && (best == nullptr || goesBefore(each, *best))) {
                 best = &each;
             }
         }
         if (best == nullptr) {
             return;
         }
-        if (placeFrom(state, *best->team, classes, now, result)) {
-            best->use = weightedUsage(state, *best->team, now);
+        if (placeNextOf(state, *best->team, classes, now, result)) {
+            best->usage = weightedUsage(state, *best->team, now);
             best->oldest = oldestWaiting(state, *best->team, classes);
         } else {
             best->isExhausted = true;
@@ -476,10 +481,10 @@
     }
 }
 
-void dropReservation(scheduler_state &state, std::uint64_t ticket)
+void releaseReservation(scheduler_state &state, std::uint64_t workId)
 {
-    endHold(state, ticket);
-    const auto found = state.targetReservations.find(ticket);
+    releasePool(state, workId);
+    const auto found = state.targetReservations.find(workId);
     if (found == state.targetReservations.end()) {
         return;
     }
@@ -489,34 +494,34 @@
     state.targetReservations.erase(found);
 }
 
-void dropReservationsOf(scheduler_state &state, std::uint32_t target)
+void releaseReservationOn(scheduler_state &state, std::uint32_t target)
 {
-    const auto ticket = state.index.targets[target].reservedFor;
-    if (ticket != 0) {
-        dropReservation(state, ticket);
+    const auto workId = state.index.targets[target].reservedFor;
+    if (workId != 0) {
+        releaseReservation(state, workId);
     }
 }
 
-std::string missingResource(const scheduler_state &state, const work_item &item)
+std::string describeMissingResource(const scheduler_state &state, const work_item &item)
 {
-    resource_amounts most;
+    resource_amounts largest;
     for (const auto &target : state.index.targets) {
-        if (offers(target, item.service)) {
-            most = componentMax(most, target.capacity);
+        if (offersService(target, item.service)) {
+            largest = componentMax(largest, target.capacity);
         }
     }
     const auto &need = item.need;
-    if (need.accelerators > most.accelerators) {
+    if (need.accelerators > largest.accelerators) {
         return "accelerators " + std::to_string(need.accelerators) + ", the largest target has "
-            + std::to_string(most.accelerators);
+            + std::to_string(largest.accelerators);
     }
-    if (need.milliCores > most.milliCores) {
+    if (need.milliCores > largest.milliCores) {
         return "milli_cores " + std::to_string(need.milliCores) + ", the largest target has "
-            + std::to_string(most.milliCores);
+            + std::to_string(largest.milliCores);
     }
-    if (need.memoryMb > most.memoryMb) {
+    if (need.memoryMb > largest.memoryMb) {
         return "memory_mb " + std::to_string(need.memoryMb) + ", the largest target has "
-            + std::to_string(most.memoryMb);
+            + std::to_string(largest.memoryMb);
     }
     return "no single target has enough of all resources";
 }
--- a/modules/filbert_policy/resource_amounts.h
+++ b/modules/filbert_policy/resource_amounts.h
@@ -58,16 +58,16 @@
 */
 inline resource_amounts scaledBy(const resource_amounts &need, std::size_t count)
 {
-    const auto times = static_cast<std::int64_t>(count);
-    return {need.milliCores * times, need.memoryMb * times, need.accelerators * times,
-            need.slots * times};
+    const auto factor = static_cast<std::int64_t>(count);
+    return {need.milliCores * factor, need.memoryMb * factor, need.accelerators * factor,
+            need.slots * factor};
 }
 
 /** @return whether the available amount covers a need, in every resource */
-inline bool fitsWithin(const resource_amounts &need, const resource_amounts &room)
+inline bool fitsWithin(const resource_amounts &need, const resource_amounts &available)
 {
-    return need.milliCores <= room.milliCores && need.memoryMb <= room.memoryMb
-        && need.accelerators <= room.accelerators && need.slots <= room.slots;
+    return need.milliCores <= available.milliCores && need.memoryMb <= available.memoryMb
+        && need.accelerators <= available.accelerators && need.slots <= available.slots;
 }
 
 /** @return the larger of two amounts, for each resource separately */
@@ -82,11 +82,13 @@
 */
 inline double dominantShare(const resource_amounts &used, const resource_amounts &total)
 {
-    const auto part = [](std::int64_t u, std::int64_t t) {
-        return t > 0 ? static_cast<double>(u) / static_cast<double>(t) : 0.0;
+    const auto fraction = [](std::int64_t usedAmount, std::int64_t totalAmount) {
+        return totalAmount > 0 ? static_cast<double>(usedAmount) / static_cast<double>(totalAmount)
+                               : 0.0;
     };
-    return std::max({part(used.milliCores, total.milliCores), part(used.memoryMb, total.memoryMb),
-                     part(used.accelerators, total.accelerators), part(used.slots, total.slots)});
+    return std::max(
+        {fraction(used.milliCores, total.milliCores), fraction(used.memoryMb, total.memoryMb),
+         fraction(used.accelerators, total.accelerators), fraction(used.slots, total.slots)});
 }
 
 /** @return the amounts that a message states. @see taskNeedOf for the need of a task */
@@ -104,12 +106,12 @@
 /** @return a team's upper limit; a resource that the configuration leaves out is not limited */
 inline resource_amounts limitOf(const messages::team &team)
 {
-    constexpr auto none = std::numeric_limits<std::int64_t>::max() / 4;
+    constexpr auto unlimited = std::numeric_limits<std::int64_t>::max() / 4;
     const auto &limit = team.upper_limit();
-    return {limit.has_milli_cores() ? limit.milli_cores() : none,
-            limit.has_memory_mb() ? limit.memory_mb() : none,
-            limit.has_accelerators() ? limit.accelerators() : none,
-            limit.has_slots() ? limit.slots() : none};
+    return {limit.has_milli_cores() ? limit.milli_cores() : unlimited,
+            limit.has_memory_mb() ? limit.memory_mb() : unlimited,
+            limit.has_accelerators() ? limit.accelerators() : unlimited,
+            limit.has_slots() ? limit.slots() : unlimited};
 }
 
 /** @return the amounts as a message */
--- a/modules/filbert_policy/scheduler.cpp
+++ b/modules/filbert_policy/scheduler.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double seenDecay = 0.9; // of the learned CPU and memory usage, per successful task
+constexpr double peakUsageDecay = 0.9; // of the learned CPU and memory usage, per successful task
 
 /** Makes a target eligible exactly if it is available and not quarantined. */
 void refreshEligibility(scheduler_state &state, const std::string &name)
@@ -24,7 +24,7 @@
 }
 
 /** @return how many work items of a class a team may have waiting */
-std::size_t waitingBound(const scheduler_state &state, work_class kind)
+std::size_t maxWaitingItems(const scheduler_state &state, work_class kind)
 {
     return kind == work_class::Urgent ? state.settings.maxUrgentWaiting
                                       : state.settings.maxJobsWaiting;
@@ -49,8 +49,8 @@
     if (item.startDeadline.ms != 0) {
         state.startDeadlines.emplace(item.startDeadline, item.workId);
     }
-    const auto ticket = item.workId;
-    state.waiting.insert_or_assign(ticket, std::move(item));
+    const auto workId = item.workId;
+    state.waiting.insert_or_assign(workId, std::move(item));
 }
 
 /** Starts a quarantine, twice as long as the one before if there was no success in between. */
@@ -58,15 +58,15 @@
                 time_point now)
 {
     const auto &settings = state.settings;
-    health.nextQuarantine = health.nextQuarantine.count == 0
+    health.quarantinePeriod = health.quarantinePeriod.count == 0
         ? settings.initialQuarantine
-        : std::min(settings.maxQuarantine, health.nextQuarantine * 2);
-    health.quarantinedUntil = now + health.nextQuarantine;
+        : std::min(settings.maxQuarantine, health.quarantinePeriod * 2);
+    health.quarantinedUntil = now + health.quarantinePeriod;
     health.isQuarantined = true;
     log_line {"target_quarantined", log_line::severity::Warning}
         .with("target", name)
         .with("distinct_jobs", health.consecutiveFailures.size())
-        .with("until_ms", health.nextQuarantine.count);
+        .with("until_ms", health.quarantinePeriod.count);
     refreshEligibility(state, name);
 }
 
@@ -86,20 +86,20 @@
     state.urgentServices = std::move(services);
 }
 
-void updateTarget(scheduler_state &state, target_entry view, bool isHeard)
+void updateTarget(scheduler_state &state, target_entry entry, bool isAvailable)
 {
-    const auto name = view.name;
+    const auto name = entry.name;
     auto &health = state.health[name];
-    health.isAvailable = isHeard;
-    view.isEligible = isHeard && !health.isQuarantined;
+    health.isAvailable = isAvailable;
+    entry.isEligible = isAvailable && !health.isQuarantined;
     const auto found = state.index.byName.find(name);
     if (found != state.index.byName.end()) {
-        view.isProbing = state.index.targets[found->second].isProbing;
+        entry.isProbing = state.index.targets[found->second].isProbing;
     }
-    if (found != state.index.byName.end() && !isHeard) {
-        dropReservationsOf(state, found->second);
+    if (found != state.index.byName.end() && !isAvailable) {
+        releaseReservationOn(state, found->second);
     }
-    const auto number = upsertTarget(state.index, view);
+    const auto number = upsertTarget(state.index, entry);
     if (state.runningOnTarget.size() <= number) {
         state.runningOnTarget.resize(number + 1);
     }
@@ -119,26 +119,26 @@
 {
     auto &team = state.teams[item.team];
     const auto kind = static_cast<std::size_t>(item.kind);
-    if (team.waitingCount[kind] >= waitingBound(state, item.kind)) {
+    if (team.waitingCount[kind] >= maxWaitingItems(state, item.kind)) {
         return error_kind::Overloaded;
     }
     if (!fitsWithin(item.declaredNeed, team.limit)) {
         return error_kind::LimitReached;
     }
-    const auto known = state.usageEstimates.find(estimateKey(item));
+    const auto estimate = state.usageEstimates.find(estimateKey(item));
     item.need = item.declaredNeed;
-    if (known != state.usageEstimates.end()) {
-        const auto learned = componentMax(item.declaredNeed, known->second.peakUsage);
-        const bool isPossible =
-            fitsWithin(learned, team.limit) && couldEverFit(state.index, item.service, learned);
-        item.need = isPossible ? learned : item.declaredNeed;
+    if (estimate != state.usageEstimates.end()) {
+        const auto estimatedNeed = componentMax(item.declaredNeed, estimate->second.peakUsage);
+        const bool isFeasible = fitsWithin(estimatedNeed, team.limit)
+            && couldEverFit(state.index, item.service, estimatedNeed);
+        item.need = isFeasible ? estimatedNeed : item.declaredNeed;
     }
-    const bool isHopeless = item.kind == work_class::Urgent
+    const bool canNeverRun = item.kind == work_class::Urgent
         && state.index.pools.contains(item.service)
         && state.index.pools.at(item.service).targetCount > 0
         && findTarget(state.index, item.service, item.need, {}) < 0
         && !couldEverFit(state.index, item.service, item.need);
-    if (isHopeless) {
+    if (canNeverRun) {
         return error_kind::NeverFits;
     }
     item.waitingSince = now;
@@ -146,17 +146,17 @@
     return {};
 }
 
-void requeueTask(scheduler_state &state, work_item &&item, std::int32_t task, time_point now)
+void requeueTask(scheduler_state &state, work_item &&item, std::int32_t taskIndex, time_point now)
 {
     const auto found = state.waiting.find(item.workId);
     if (found != state.waiting.end()) {
-        auto &known = found->second;
-        known.tasks.push_back(task);
-        known.failures += item.failures;
-        known.notBefore = now + backoffAfter(state, known.failures);
+        auto &waitingItem = found->second;
+        waitingItem.tasks.push_back(taskIndex);
+        waitingItem.failures += item.failures;
+        waitingItem.notBefore = now + backoffAfter(state, waitingItem.failures);
         return;
     }
-    item.tasks = {task};
+    item.tasks = {taskIndex};
     item.need = item.declaredNeed;
     item.waitingSince = now;
     if (item.failures > 0) {
@@ -165,11 +165,11 @@
     enqueue(state, std::move(item));
 }
 
-void setMinTasksToStart(scheduler_state &state, std::uint64_t ticket, std::int32_t together)
+void setMinTasksToStart(scheduler_state &state, std::uint64_t workId, std::int32_t minTasksToStart)
 {
-    const auto found = state.waiting.find(ticket);
+    const auto found = state.waiting.find(workId);
     if (found != state.waiting.end()) {
-        found->second.minTasksToStart = together;
+        found->second.minTasksToStart = minTasksToStart;
         found->second.isBlocked = false;
     }
 }
@@ -179,46 +179,46 @@
     return item.team + "/" + (item.name.empty() ? item.service : item.name);
 }
 
-void removeWork(scheduler_state &state, std::uint64_t ticket)
+void removeWork(scheduler_state &state, std::uint64_t workId)
 {
-    const auto found = state.waiting.find(ticket);
+    const auto found = state.waiting.find(workId);
     if (found == state.waiting.end()) {
         return;
     }
     // The work id stays in the team's queue, where it is skipped.
     --state.teams[found->second.team].waitingCount[static_cast<std::size_t>(found->second.kind)];
     state.waiting.erase(found);
-    dropReservation(state, ticket);
+    releaseReservation(state, workId);
 }
 
-void addRunningTask(scheduler_state &state, std::uint64_t placement, running_task &&task)
+void addRunningTask(scheduler_state &state, std::uint64_t placementId, running_task &&task)
 {
     addUsage(state.index, task.target, task.service, task.need);
     state.teams[task.team].used += task.need;
-    state.runningOnTarget[task.target].insert(placement);
-    state.running.emplace(placement, std::move(task));
+    state.runningOnTarget[task.target].insert(placementId);
+    state.running.emplace(placementId, std::move(task));
 }
 
-void releaseTask(scheduler_state &state, std::uint64_t placement, time_point now)
+void releaseTask(scheduler_state &state, std::uint64_t placementId, time_point now)
 {
-    const auto found = state.running.find(placement);
+    const auto found = state.running.find(placementId);
     if (found == state.running.end()) {
         return;
     }
     const auto task = std::move(found->second);
     state.running.erase(found);
     auto &team = state.teams[task.team];
-    settleHistory(state, team, now);
+    updateUsageHistory(state, team, now);
     team.used -= task.need;
     FILBERT_INVARIANT(fitsWithin({}, team.used), "the usage of a team is never negative");
-    state.runningOnTarget[task.target].erase(placement);
+    state.runningOnTarget[task.target].erase(placementId);
     removeUsage(state.index, task.target, task.service, task.need);
 }
 
-void recordTaskResult(scheduler_state &state, std::uint64_t placement, bool succeeded,
+void recordTaskResult(scheduler_state &state, std::uint64_t placementId, bool succeeded,
                       time_point now)
 {
-    const auto found = state.running.find(placement);
+    const auto found = state.running.find(placementId);
     if (found == state.running.end()) {
         return;
     }
@@ -226,25 +226,25 @@
     auto &target = state.index.targets[task.target];
     auto &health = state.health[target.name];
     if (succeeded) {
-        auto &known = state.usageEstimates[task.estimateKey];
-        const auto took = now - task.startedAt;
-        known.runTime = known.runTime.count == 0
-            ? took
-            : milliseconds {(known.runTime.count * 3 + took.count) / 4};
-        known.peakUsage.milliCores =
-            static_cast<std::int64_t>(static_cast<double>(known.peakUsage.milliCores) * seenDecay);
-        known.peakUsage.memoryMb =
-            static_cast<std::int64_t>(static_cast<double>(known.peakUsage.memoryMb) * seenDecay);
+        auto &estimate = state.usageEstimates[task.estimateKey];
+        const auto runTime = now - task.startedAt;
+        estimate.runTime = estimate.runTime.count == 0
+            ? runTime
+            : milliseconds {(estimate.runTime.count * 3 + runTime.count) / 4};
+        estimate.peakUsage.milliCores = static_cast<std::int64_t>(
+            static_cast<double>(estimate.peakUsage.milliCores) * peakUsageDecay);
+        estimate.peakUsage.memoryMb = static_cast<std::int64_t>(
+            static_cast<double>(estimate.peakUsage.memoryMb) * peakUsageDecay);
         health.consecutiveFailures.clear();
         health.reportingGateways.clear();
-        health.nextQuarantine = {};
+        health.quarantinePeriod = {};
         setProbing(state.index, task.target, false);
         return;
     }
     recordTargetFailure(state, target.name, task.workId, now);
 }
 
-void recordTargetFailure(scheduler_state &state, const std::string &target, std::uint64_t ticket,
+void recordTargetFailure(scheduler_state &state, const std::string &target, std::uint64_t workId,
                          time_point now)
 {
     const auto found = state.index.byName.find(target);
@@ -252,7 +252,7 @@
         return;
     }
     auto &health = state.health[target];
-    health.consecutiveFailures.insert(ticket);
+    health.consecutiveFailures.insert(workId);
     const bool isProbing = state.index.targets[found->second].isProbing;
     if (!health.isQuarantined
         && (health.consecutiveFailures.size() >= state.settings.failuresBeforeQuarantine
@@ -279,7 +279,7 @@
     if (!std::exchange(health.reportingGateways, {}).empty()) {
         health.consecutiveFailures.clear();
         health.isQuarantined = false;
-        health.nextQuarantine = {};
+        health.quarantinePeriod = {};
     }
 }
 
@@ -299,32 +299,32 @@
     }
 }
 
-void recordUsage(scheduler_state &state, std::uint64_t placement, const resource_amounts &used)
+void recordUsage(scheduler_state &state, std::uint64_t placementId, const resource_amounts &used)
 {
-    const auto found = state.running.find(placement);
+    const auto found = state.running.find(placementId);
     if (found == state.running.end()) {
         return;
     }
     const auto &capacity = state.index.targets[found->second.target].capacity;
-    const auto isNonsense = !fitsWithin({}, used) || !fitsWithin(used, capacity);
-    if (isNonsense) {
+    const auto isImplausible = !fitsWithin({}, used) || !fitsWithin(used, capacity);
+    if (isImplausible) {
         return;
     }
-    auto &known = state.usageEstimates[found->second.estimateKey];
-    known.peakUsage = componentMax(known.peakUsage, used);
-    known.peakUsage.slots = 1;
+    auto &estimate = state.usageEstimates[found->second.estimateKey];
+    estimate.peakUsage = componentMax(estimate.peakUsage, used);
+    estimate.peakUsage.slots = 1;
 }
 
-void settleHistory(const scheduler_state &state, team_state &team, time_point now)
+void updateUsageHistory(const scheduler_state &state, team_state &team, time_point now)
 {
-    const auto passed = static_cast<double>((now - team.usageHistoryAt).count);
-    if (passed <= 0) {
+    const auto elapsed = static_cast<double>((now - team.usageHistoryAt).count);
+    if (elapsed <= 0) {
         return;
     }
     const auto halfLife = static_cast<double>(state.settings.historyHalfLife.count);
-    const double kept = std::exp2(-passed / halfLife);
+    const double decay = std::exp2(-elapsed / halfLife);
     const double current = dominantShare(team.used, state.index.totalCapacity);
-    team.usageHistory = team.usageHistory * kept + current * (1 - kept);
+    team.usageHistory = team.usageHistory * decay + current * (1 - decay);
     team.usageHistoryAt = now;
 }
 
@@ -342,15 +342,15 @@
     case policy_kind::Filbert:
         break;
     }
-    settleHistory(state, team, now);
+    updateUsageHistory(state, team, now);
     const double current = dominantShare(team.used, state.index.totalCapacity);
     return (current * (1 - settings.historyWeight) + team.usageHistory * settings.historyWeight)
         / team.share;
 }
 
-wait_reason explainWaiting(const scheduler_state &state, std::uint64_t ticket, time_point now)
+wait_reason explainWaiting(const scheduler_state &state, std::uint64_t workId, time_point now)
 {
-    const auto found = state.waiting.find(ticket);
+    const auto found = state.waiting.find(workId);
     if (found == state.waiting.end()) {
         return {"it is not queued at present", 0, {}};
     }
@@ -360,7 +360,7 @@
     reason.waited = now - item.waitingSince;
     for (const auto other : team.waitingIds[static_cast<std::size_t>(item.kind)]) {
         reason.position += state.waiting.contains(other) ? 1 : 0;
-        if (other == ticket) {
+        if (other == workId) {
             break;
         }
     }
@@ -368,16 +368,17 @@
     if (pool == state.index.pools.end() || pool->second.targetCount == 0) {
         reason.text = "no target offers service " + item.service + " at present";
     } else if (!couldEverFit(state.index, item.service, item.need)) {
-        reason.text = "no target has the capacity for one task: " + missingResource(state, item);
+        reason.text =
+            "no target has the capacity for one task: " + describeMissingResource(state, item);
     } else if (!fitsWithin(team.used + item.need, team.limit)) {
         reason.text = "team " + item.team + " is at its upper limit";
     } else if (item.notBefore > now) {
         reason.text = "a task failed; the next attempt is in "
             + std::to_string((item.notBefore - now).count) + " ms";
-    } else if (state.targetReservations.contains(ticket)) {
+    } else if (state.targetReservations.contains(workId)) {
         reason.text = "targets are reserved for it and are being drained";
-    } else if (const auto hold = state.poolReservations.find(item.service);
-               hold != state.poolReservations.end() && hold->second == ticket) {
+    } else if (const auto reservation = state.poolReservations.find(item.service);
+               reservation != state.poolReservations.end() && reservation->second == workId) {
         reason.text =
             "the targets of its service are reserved for it until enough capacity is free";
     } else if (item.kind == work_class::Gang) {
@@ -405,14 +406,15 @@
 schedule_result schedule(scheduler_state &state, time_point now)
 {
     schedule_result result;
-    expireUrgent(state, now, &result);
+    expireUrgentWork(state, now, &result);
     const auto kind = state.settings.kind;
     if (kind == policy_kind::Filbert || kind == policy_kind::StrictPriority) {
-        runPass(state, {work_class::Urgent}, now, &result);
-        runPass(state, {work_class::Gang}, now, &result);
-        runPass(state, {work_class::Batch}, now, &result);
+        runPlacementPass(state, {work_class::Urgent}, now, &result);
+        runPlacementPass(state, {work_class::Gang}, now, &result);
+        runPlacementPass(state, {work_class::Batch}, now, &result);
     } else {
-        runPass(state, {work_class::Urgent, work_class::Gang, work_class::Batch}, now, &result);
+        runPlacementPass(state, {work_class::Urgent, work_class::Gang, work_class::Batch}, now,
+                         &result);
     }
     return result;
 }
--- a/modules/filbert_policy/scheduler.h
+++ b/modules/filbert_policy/scheduler.h
@@ -33,14 +33,11 @@
     policy_kind kind = policy_kind::Filbert;
     milliseconds historyHalfLife {300'000}; // of the decayed usage history of a team
     double historyWeight = 0.9; // of the history in a team's weighted usage; the rest is current
-    double urgentReserveFraction =
-        0.03; // fraction of a pool's cores and slots kept for urgent work
+    double urgentReserveFraction = 0.03; // of a pool's cores and slots, for urgent work only
     std::size_t maxUrgentWaiting = 2'000; // per team
     std::size_t maxJobsWaiting = 50'000; // per team
-    milliseconds gangReservationDelay {
-        2'000}; // waiting time before capacity is reserved for a gang
-    milliseconds preemptionDelay {
-        300}; // waiting time before batch tasks are stopped for urgent work
+    milliseconds gangReservationDelay {2'000}; // a gang waits as long before a reservation
+    milliseconds preemptionDelay {300}; // urgent work waits as long before batch tasks are stopped
     milliseconds retryBackoff {500}; // after a first failure; doubles with each further one
     milliseconds maxRetryBackoff {60'000};
     milliseconds initialQuarantine {30'000}; // doubles with each further quarantine
@@ -60,7 +57,7 @@
 /** Work to place: an urgent request, which has one task, or a job with the tasks that wait. */
 struct work_item
 {
-    std::uint64_t workId = 0; // work id: of a request, or the job's id, whose top bit is clear
+    std::uint64_t workId = 0; // of a request, or the id of a job, whose top bit is clear
     work_class kind = work_class::Batch;
     std::string team;
     std::string service;
@@ -71,13 +68,13 @@
     std::vector<std::int32_t> tasks; // indices of the waiting tasks; a request has only 0
     std::int32_t size = 1; // tasks of the whole job
     std::int32_t minTasksToStart = 1; // waiting tasks that any start requires; all of a gang
-    std::vector<std::string> excludedTargets; // names of targets to be passed over
+    std::vector<std::string> excludedTargets; // names; targets where it failed before
     time_point waitingSince;
     time_point startDeadline; // latest start of urgent work; 0 = none
     time_point notBefore; // earliest start, after a failure
     milliseconds runTime; // declared; 0 = unknown
     bool isIdempotent = false;
-    std::uint64_t releaseCountWhenBlocked = 0; // the pool's release count when it last did not fit
+    std::uint64_t releaseCountWhenBlocked = 0; // of its pool
     bool isBlocked = false; // it did not fit; tried again once the release count has changed
     int failures = 0;
     time_point preemptedAt; // when tasks were last stopped for it
@@ -92,7 +89,7 @@
     work_class kind = work_class::Batch;
     std::string team;
     std::string service;
-    std::string estimateKey; // under which its usage is learned
+    std::string estimateKey; // see estimateKey()
     resource_amounts need;
     time_point startedAt;
     bool isIdempotent = false;
@@ -116,11 +113,10 @@
 struct target_health
 {
     std::set<std::uint64_t> consecutiveFailures; // ids of what failed since the last success
-    std::uint64_t firstCountablePlacement = 0; // placements below it no longer count as unreachable
-    std::set<std::string>
-        reportingGateways; // gateways that could not reach it since the last success
+    std::uint64_t firstCountablePlacement = 0; // earlier placements do not count as unreachable
+    std::set<std::string> reportingGateways; // could not reach it since the last success
     time_point quarantinedUntil;
-    milliseconds nextQuarantine; // length of the latest quarantine; 0 = none since a success
+    milliseconds quarantinePeriod; // length of the latest quarantine; 0 = none since a success
     bool isQuarantined = false;
     bool isAvailable = false; // may get work, unless quarantined
 };
@@ -155,10 +151,9 @@
     std::unordered_map<std::string, usage_estimate> usageEstimates; // see estimateKey()
     std::set<std::string> urgentServices;
     std::map<std::uint64_t, std::vector<std::uint32_t>> targetReservations; // targets by gang
-    std::map<std::string, std::uint64_t>
-        poolReservations; // by service: the gang it is kept free for
+    std::map<std::string, std::uint64_t> poolReservations; // gangs by service
     std::uint64_t nextPlacementId = 1;
-    std::multimap<time_point, std::uint64_t> startDeadlines; // start deadlines of urgent work
+    std::multimap<time_point, std::uint64_t> startDeadlines; // of urgent work
 };
 
 /** One task to start. */
@@ -200,10 +195,10 @@
 
 /** Adds a target or applies a change of it.
 
-    @param view     of a known target, usage, reservation and probing stay as they are
-    @param isHeard  whether it may get work; a quarantined target gets none either way
+    @param entry        of a known target, usage, reservation and probing stay as they are
+    @param isAvailable  whether it may get work; a quarantined target gets none either way
 */
-void updateTarget(scheduler_state &state, target_entry view, bool isHeard);
+void updateTarget(scheduler_state &state, target_entry entry, bool isAvailable);
 
 /** Removes a target whose tasks have all been released. */
 void unregisterTarget(scheduler_state &state, const std::string &name);
@@ -218,39 +213,37 @@
 
 /** Queues a task again, together with the job's other waiting tasks if there are any.
 
-    @param item  the job; its failures delay the next start
-    @param task  index of the task
+    @param item       the job; its failures delay the next start
+    @param taskIndex  of the task in the job
 */
-void requeueTask(scheduler_state &state, work_item &&item, std::int32_t task, time_point now);
+void requeueTask(scheduler_state &state, work_item &&item, std::int32_t taskIndex, time_point now);
 
-/** Removes waiting work. It takes constant time: the work id stays in the team's queue, where it is
-    skipped.
-*/
-void removeWork(scheduler_state &state, std::uint64_t ticket);
+/** Removes waiting work, in constant time. */
+void removeWork(scheduler_state &state, std::uint64_t workId);
 
 /** Changes how many tasks must start together; an unknown work id is ignored. */
-void setMinTasksToStart(scheduler_state &state, std::uint64_t ticket, std::int32_t together);
+void setMinTasksToStart(scheduler_state &state, std::uint64_t workId, std::int32_t minTasksToStart);
 
 /** @return the key under which usage and run time of such work are learned */
 std::string estimateKey(const work_item &item);
 
 /** Adds a running task, also one that was placed before this leader started. */
-void addRunningTask(scheduler_state &state, std::uint64_t placement, running_task &&task);
+void addRunningTask(scheduler_state &state, std::uint64_t placementId, running_task &&task);
 
 /** Releases the resources of a task that has ended. */
-void releaseTask(scheduler_state &state, std::uint64_t placement, time_point now);
+void releaseTask(scheduler_state &state, std::uint64_t placementId, time_point now);
 
 /** Records how a task ended: run time and usage of its name, or a failure of its target. */
-void recordTaskResult(scheduler_state &state, std::uint64_t placement, bool succeeded,
+void recordTaskResult(scheduler_state &state, std::uint64_t placementId, bool succeeded,
                       time_point now);
 
 /** Counts a failure on a target. After several failures in a row, of different work, the target is
     quarantined; while it is probed, the first failure suffices.
 
     @param target  name; a target that has been removed is ignored
-    @param ticket  id of the work that failed
+    @param workId  of the work that failed
 */
-void recordTargetFailure(scheduler_state &state, const std::string &target, std::uint64_t ticket,
+void recordTargetFailure(scheduler_state &state, const std::string &target, std::uint64_t workId,
                          time_point now);
 
 /** A gateway's report of a placement that it could not deliver to the target. */
@@ -259,8 +252,7 @@
     std::string target;
     std::uint64_t placementId = 0;
     std::string gateway; // that reports it
-    std::size_t requiredReporters =
-        1; // distinct gateways that must report the target before it counts
+    std::size_t requiredReporters = 1; // distinct gateways that must report before it counts
 };
 
 /** Counts a placement that could not be delivered as a failure of its target. Placements that were
@@ -279,15 +271,15 @@
 /** Records the usage that a target reports for a running task. Values below 0 or above the target's
     capacity are ignored.
 */
-void recordUsage(scheduler_state &state, std::uint64_t placement, const resource_amounts &used);
+void recordUsage(scheduler_state &state, std::uint64_t placementId, const resource_amounts &used);
 
 /** Decides what starts now. The resources of each placement are in use from then on; the caller
     releases them with releaseTask() if the task does not start.
 */
 schedule_result schedule(scheduler_state &state, time_point now);
 
-/** @param ticket work id @return why that work waits */
-wait_reason explainWaiting(const scheduler_state &state, std::uint64_t ticket, time_point now);
+/** @return why the work of an id waits */
+wait_reason explainWaiting(const scheduler_state &state, std::uint64_t workId, time_point now);
 
 /** Ends the quarantines that have expired; those targets are then probed. */
 void endExpiredQuarantines(scheduler_state &state, time_point now);
--- a/modules/filbert_policy/target_index.cpp
+++ b/modules/filbert_policy/target_index.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-constexpr std::int64_t coresPerAcceleratorKey = 1LL << 32;
+constexpr std::int64_t acceleratorKeyFactor = 1LL << 32;
 
 std::int64_t acceleratorKey(const target_entry &target)
 {
-    const auto room = freeResources(target);
-    return room.accelerators * coresPerAcceleratorKey + std::max<std::int64_t>(room.milliCores, 0);
+    const auto available = freeResources(target);
+    return available.accelerators * acceleratorKeyFactor
+        + std::max<std::int64_t>(available.milliCores, 0);
 }
 
 /** Whether a target can take a task at present, if the task is small enough. */
-bool isOpen(const target_entry &target)
+bool canTakeTask(const target_entry &target)
 {
     return target.isEligible && target.reservedFor == 0 && freeResources(target).slots > 0
         && !(target.isProbing && target.used.slots > 0);
@@ -27,10 +28,10 @@
    present state, so remove it before a change and add it afterwards. A target that cannot take a
    task is in none of the sets.
 */
-void enlist(target_index &index, std::uint32_t number, bool isIn)
+void setListed(target_index &index, std::uint32_t number, bool isListed)
 {
     const auto &target = index.targets[number];
-    if (!isOpen(target)) {
+    if (!canTakeTask(target)) {
         return;
     }
     for (const auto &service : target.services) {
@@ -39,7 +40,7 @@
         auto &set = hasAccelerators ? domain.byFreeAccelerators : domain.byFreeCores;
         const auto key =
             hasAccelerators ? acceleratorKey(target) : freeResources(target).milliCores;
-        if (isIn) {
+        if (isListed) {
             set.emplace(key, number);
         } else {
             set.erase({key, number});
@@ -48,7 +49,7 @@
 }
 
 /** Adds an eligible target to the totals of its pools and of the index, or subtracts it. */
-void countCapacity(target_index &index, const target_entry &target, bool isAdded)
+void updateTotals(target_index &index, const target_entry &target, bool isAdded)
 {
     if (!target.isEligible) {
         return;
@@ -78,38 +79,38 @@
 void changeTarget(target_index &index, std::uint32_t number, const Change &change)
 {
     auto &target = index.targets[number];
-    enlist(index, number, false);
-    countCapacity(index, target, false);
+    setListed(index, number, false);
+    updateTotals(index, target, false);
     change(target);
-    countCapacity(index, target, true);
-    enlist(index, number, true);
+    updateTotals(index, target, true);
+    setListed(index, number, true);
 }
 
 /** Like changeTarget(), but cheaper: for a change of usage only. */
-void changeUse(target_index &index, std::uint32_t number, const std::string &service,
-               const resource_amounts &more, const resource_amounts &less, std::int64_t tasks,
-               bool isRelease)
+void changeUsage(target_index &index, std::uint32_t number, const std::string &service,
+                 const resource_amounts &added, const resource_amounts &removed,
+                 std::int64_t taskDelta, bool isRelease)
 {
     auto &target = index.targets[number];
-    enlist(index, number, false);
-    target.used += more;
-    target.used -= less;
+    setListed(index, number, false);
+    target.used += added;
+    target.used -= removed;
     FILBERT_INVARIANT(fitsWithin({}, target.used), "the usage of a target is never negative");
-    enlist(index, number, true);
+    setListed(index, number, true);
     for (const auto &offered : target.services) {
         auto &pool = index.pools[offered];
         if (target.isEligible) {
-            pool.used += more;
-            pool.used -= less;
+            pool.used += added;
+            pool.used -= removed;
         }
         pool.releaseCount += isRelease ? 1 : 0;
         if (offered == service) {
-            pool.domains[target.failureDomain].runningTasks += tasks;
+            pool.domains[target.failureDomain].runningTasks += taskDelta;
         }
     }
 }
 
-std::uint32_t takeNumber(target_index &index)
+std::uint32_t allocateNumber(target_index &index)
 {
     if (index.unusedNumbers.empty()) {
         index.targets.emplace_back();
@@ -120,39 +121,40 @@
     return number;
 }
 
-bool isUsable(const target_entry &target, const resource_amounts &need,
-              const std::vector<std::string> &avoid)
+bool isSuitable(const target_entry &target, const resource_amounts &need,
+                const std::vector<std::string> &excluded)
 {
     return fitsWithin(need, freeResources(target))
-        && std::find(avoid.begin(), avoid.end(), target.name) == avoid.end();
+        && std::find(excluded.begin(), excluded.end(), target.name) == excluded.end();
 }
 
 /** @return the first target of an ordered set, from a key on, that can take a task; or -1 */
-std::int64_t firstUsable(const target_index &index,
-                         const std::set<std::pair<std::int64_t, std::uint32_t>> &set,
-                         std::int64_t key, const resource_amounts &need,
-                         const std::vector<std::string> &avoid)
+std::int64_t findFirstSuitable(const target_index &index,
+                               const std::set<std::pair<std::int64_t, std::uint32_t>> &set,
+                               std::int64_t key, const resource_amounts &need,
+                               const std::vector<std::string> &excluded)
 {
-    for (auto at = set.lower_bound({key, 0}); at != set.end(); ++at) {
-        if (isUsable(index.targets[at->second], need, avoid)) {
-            return at->second;
+    for (auto it = set.lower_bound({key, 0}); it != set.end(); ++it) {
+        if (isSuitable(index.targets[it->second], need, excluded)) {
+            return it->second;
         }
     }
     return -1;
 }
 
 std::int64_t findInDomain(const target_index &index, const domain_pool &domain,
-                          const resource_amounts &need, const std::vector<std::string> &avoid)
+                          const resource_amounts &need, const std::vector<std::string> &excluded)
 {
     if (need.accelerators == 0) {
-        const auto found = firstUsable(index, domain.byFreeCores, need.milliCores, need, avoid);
+        const auto found =
+            findFirstSuitable(index, domain.byFreeCores, need.milliCores, need, excluded);
         if (found >= 0) {
             return found;
         }
-        return firstUsable(index, domain.byFreeAccelerators, 0, need, avoid);
+        return findFirstSuitable(index, domain.byFreeAccelerators, 0, need, excluded);
     }
-    const auto key = need.accelerators * coresPerAcceleratorKey + need.milliCores;
-    return firstUsable(index, domain.byFreeAccelerators, key, need, avoid);
+    const auto key = need.accelerators * acceleratorKeyFactor + need.milliCores;
+    return findFirstSuitable(index, domain.byFreeAccelerators, key, need, excluded);
 }
 
 } // namespace
@@ -162,21 +164,21 @@
     return target.capacity - target.used;
 }
 
-std::uint32_t upsertTarget(target_index &index, const target_entry &view)
+std::uint32_t upsertTarget(target_index &index, const target_entry &entry)
 {
-    const auto found = index.byName.find(view.name);
+    const auto found = index.byName.find(entry.name);
     if (found == index.byName.end()) {
-        const auto number = takeNumber(index);
-        index.targets[number] = view;
-        index.byName.emplace(view.name, number);
-        countCapacity(index, view, true);
-        enlist(index, number, true);
+        const auto number = allocateNumber(index);
+        index.targets[number] = entry;
+        index.byName.emplace(entry.name, number);
+        updateTotals(index, entry, true);
+        setListed(index, number, true);
         return number;
     }
     changeTarget(index, found->second, [&](target_entry &target) {
         const auto used = target.used;
         const auto reservedFor = target.reservedFor;
-        target = view;
+        target = entry;
         target.used = used;
         target.reservedFor = reservedFor;
     });
@@ -196,42 +198,42 @@
 void addUsage(target_index &index, std::uint32_t target, const std::string &service,
               const resource_amounts &need)
 {
-    changeUse(index, target, service, need, {}, 1, false);
+    changeUsage(index, target, service, need, {}, 1, false);
 }
 
 void removeUsage(target_index &index, std::uint32_t target, const std::string &service,
                  const resource_amounts &need)
 {
-    changeUse(index, target, service, {}, need, -1, true);
+    changeUsage(index, target, service, {}, need, -1, true);
 }
 
 void undoUsage(target_index &index, std::uint32_t target, const std::string &service,
                const resource_amounts &need)
 {
-    changeUse(index, target, service, {}, need, -1, false);
+    changeUsage(index, target, service, {}, need, -1, false);
 }
 
 void setEligible(target_index &index, std::uint32_t target, bool isEligible)
 {
     if (index.targets[target].isEligible != isEligible) {
-        changeTarget(index, target, [&](target_entry &view) { view.isEligible = isEligible; });
+        changeTarget(index, target, [&](target_entry &entry) { entry.isEligible = isEligible; });
     }
 }
 
 void setProbing(target_index &index, std::uint32_t target, bool isProbing)
 {
     if (index.targets[target].isProbing != isProbing) {
-        changeTarget(index, target, [&](target_entry &view) { view.isProbing = isProbing; });
+        changeTarget(index, target, [&](target_entry &entry) { entry.isProbing = isProbing; });
     }
 }
 
-void setReservation(target_index &index, std::uint32_t target, std::uint64_t ticket)
+void setReservation(target_index &index, std::uint32_t target, std::uint64_t workId)
 {
-    changeTarget(index, target, [&](target_entry &view) { view.reservedFor = ticket; });
+    changeTarget(index, target, [&](target_entry &entry) { entry.reservedFor = workId; });
 }
 
 std::int64_t findTarget(const target_index &index, const std::string &service,
-                        const resource_amounts &need, const std::vector<std::string> &avoid)
+                        const resource_amounts &need, const std::vector<std::string> &excluded)
 {
     const auto pool = index.pools.find(service);
     if (pool == index.pools.end()) {
@@ -246,7 +248,7 @@
         return a->runningTasks < b->runningTasks;
     });
     for (const auto *domain : domains) {
-        const auto found = findInDomain(index, *domain, need, avoid);
+        const auto found = findInDomain(index, *domain, need, excluded);
         if (found >= 0) {
             return found;
         }
@@ -254,7 +256,7 @@
     return -1;
 }
 
-bool offers(const target_entry &target, const std::string &service)
+bool offersService(const target_entry &target, const std::string &service)
 {
     return std::find(target.services.begin(), target.services.end(), service)
         != target.services.end();
@@ -265,8 +267,8 @@
 {
     const auto found =
         std::find_if(index.targets.begin(), index.targets.end(), [&](const auto &target) {
-            return isOpen(target) && fitsWithin(need, freeResources(target))
-                && offers(target, service);
+            return canTakeTask(target) && fitsWithin(need, freeResources(target))
+                && offersService(target, service);
         });
     return found == index.targets.end() ? -1 : found - index.targets.begin();
 }
@@ -275,7 +277,7 @@
                   const resource_amounts &need)
 {
     return std::any_of(index.targets.begin(), index.targets.end(), [&](const auto &target) {
-        return fitsWithin(need, target.capacity) && offers(target, service);
+        return fitsWithin(need, target.capacity) && offersService(target, service);
     });
 }
 
--- a/modules/filbert_policy/target_index.h
+++ b/modules/filbert_policy/target_index.h
@@ -60,7 +60,7 @@
 };
 
 /** Adds a target or replaces a known one, whose usage and reservation stay. @return its number */
-std::uint32_t upsertTarget(target_index &index, const target_entry &view);
+std::uint32_t upsertTarget(target_index &index, const target_entry &entry);
 
 /** Removes a target on which nothing runs; its number may be reused. */
 void removeTarget(target_index &index, std::uint32_t target);
@@ -82,8 +82,8 @@
 /** Sets whether a target gets one task at a time only. */
 void setProbing(target_index &index, std::uint32_t target, bool isProbing);
 
-/** Reserves a target for a gang. @param ticket work id of the gang, or 0 to end the reservation */
-void setReservation(target_index &index, std::uint32_t target, std::uint64_t ticket);
+/** Reserves a target for a gang. @param workId of the gang, or 0 to end the reservation */
+void setReservation(target_index &index, std::uint32_t target, std::uint64_t workId);
 
 /** Finds a target for a task by best fit.
 
@@ -91,14 +91,14 @@
     target with the least free cores that suffice is chosen, or with the least free accelerators if
     the task needs some. Targets with accelerators come last for a task that needs none.
 
-    @param index    all targets
-    @param service  that the target must offer
-    @param need     of one task
-    @param avoid    names of targets that are excluded
+    @param index     all targets
+    @param service   that the target must offer
+    @param need      of one task
+    @param excluded  names of targets that are passed over
     @return the target's number, or -1
 */
 std::int64_t findTarget(const target_index &index, const std::string &service,
-                        const resource_amounts &need, const std::vector<std::string> &avoid);
+                        const resource_amounts &need, const std::vector<std::string> &excluded);
 
 /** Finds the first target that fits, by number; for the baseline policies.
 
@@ -115,7 +115,7 @@
                   const resource_amounts &need);
 
 /** @return whether a target offers a service */
-bool offers(const target_entry &target, const std::string &service);
+bool offersService(const target_entry &target, const std::string &service);
 
 /** @return the free resources of a target */
 resource_amounts freeResources(const target_entry &target);
