--- a/modules/filbert_cell/cell_snapshot.cpp
+++ b/modules/filbert_cell/cell_snapshot.cpp
@@ -6,65 +6,66 @@
 
 namespace {
 
-void writePlacement(const placement_record &from, messages::placement *to)
+void writePlacement(const placement_record &placement, messages::placement *serialized)
 {
-    to->set_id(from.id);
-    to->set_job_id(from.jobId);
-    to->set_target_epoch(from.targetEpoch);
-    to->set_start_by(from.startBy);
-    to->set_target(from.target);
-    to->set_team(from.team);
-    to->set_service(from.service);
-    to->set_idempotency_key(from.idempotencyRecordKey);
-    *to->mutable_task() = messageOf(from.need);
-    to->set_task_index(from.taskIndex);
-    to->set_idempotent(from.isIdempotent);
+    serialized->set_id(placement.id);
+    serialized->set_job_id(placement.jobId);
+    serialized->set_target_epoch(placement.targetEpoch);
+    serialized->set_start_by(placement.startBy);
+    serialized->set_target(placement.target);
+    serialized->set_team(placement.team);
+    serialized->set_service(placement.service);
+    serialized->set_idempotency_key(placement.idempotencyRecordKey);
+    *serialized->mutable_task() = messageOf(placement.need);
+    serialized->set_task_index(placement.taskIndex);
+    serialized->set_idempotent(placement.isIdempotent);
 }
 
-placement_record readPlacement(const messages::placement &from)
+placement_record readPlacement(const messages::placement &serialized)
 {
-    return {from.id(),         from.job_id(),          from.target_epoch(),
-            from.start_by(),   from.target(),          from.team(),
-            from.service(),    from.idempotency_key(), amountsOf(from.task()),
-            from.task_index(), from.idempotent()};
+    return {serialized.id(),         serialized.job_id(),          serialized.target_epoch(),
+            serialized.start_by(),   serialized.target(),          serialized.team(),
+            serialized.service(),    serialized.idempotency_key(), amountsOf(serialized.task()),
+            serialized.task_index(), serialized.idempotent()};
 }
 
-void writeJob(const job_record &from, messages::job_snapshot *to)
+void writeJob(const job_record &job, messages::job_snapshot *snapshot)
 {
-    *to->mutable_submission() = from.submission;
-    for (const auto &task : from.tasks) {
-        auto *written = to->add_tasks();
-        written->set_state(static_cast<int>(task.state));
-        written->set_placement_id(task.placement);
-        written->set_failures(task.failures);
+    *snapshot->mutable_submission() = job.submission;
+    for (const auto &task : job.tasks) {
+        auto *taskSnapshot = snapshot->add_tasks();
+        taskSnapshot->set_state(static_cast<int>(task.state));
+        taskSnapshot->set_placement_id(task.placement);
+        taskSnapshot->set_failures(task.failures);
     }
-    to->set_submitted_ms(from.submittedMs);
-    to->set_ended_ms(from.endedMs);
-    to->set_hold_reason(from.holdReason);
-    to->mutable_failed_targets()->Assign(from.failedTargets.begin(), from.failedTargets.end());
-    to->set_state(from.isCancelled ? 1 : 0);
+    snapshot->set_submitted_ms(job.submittedMs);
+    snapshot->set_ended_ms(job.endedMs);
+    snapshot->set_hold_reason(job.holdReason);
+    snapshot->mutable_failed_targets()->Assign(job.failedTargets.begin(), job.failedTargets.end());
+    snapshot->set_state(job.isCancelled ? 1 : 0);
 }
 
-job_record readJob(const messages::job_snapshot &from)
+job_record readJob(const messages::job_snapshot &snapshot)
 {
     job_record job;
-    job.submission = from.submission();
-    for (const auto &task : from.tasks()) {
+    job.submission = snapshot.submission();
+    for (const auto &task : snapshot.tasks()) {
         job.tasks.push_back(
             {static_cast<task_state>(task.state()), task.failures(), task.placement_id()});
     }
-    job.submittedMs = from.submitted_ms();
-    job.endedMs = from.ended_ms();
-    job.holdReason = from.hold_reason();
-    job.failedTargets.insert(from.failed_targets().begin(), from.failed_targets().end());
-    job.isCancelled = from.state() == 1;
+    job.submittedMs = snapshot.submitted_ms();
+    job.endedMs = snapshot.ended_ms();
+    job.holdReason = snapshot.hold_reason();
+    job.failedTargets.insert(snapshot.failed_targets().begin(), snapshot.failed_targets().end());
+    job.isCancelled = snapshot.state() == 1;
     return job;
 }
 
-void readIdempotency(const messages::cell_snapshot &snapshot, cell_state *state)
+/** Reads the idempotency records. */
+void readIdempotencyRecords(const messages::cell_snapshot &snapshot, cell_state *state)
 {
     for (const auto &record : snapshot.idempotency()) {
-        // Before records had numbers, their order in the snapshot was their age.
+        // Records of older snapshots have no numbers; there the order of the records is their age.
         const auto number =
             record.number() != 0 ? record.number() : state->idempotencyRecords.size() + 1;
         state->idempotencyRecords.add(number, record).set_number(number);
@@ -74,7 +75,8 @@
                                                            state->idempotencyRecords.size());
 }
 
-void readSums(cell_state *state)
+/** Recomputes the totals that a snapshot does not hold from the placements. */
+void rebuildUsage(cell_state *state)
 {
     for (const auto &[id, placement] : state->placements) {
         auto &target = state->targets[placement.target];
@@ -88,9 +90,9 @@
 
 std::string startSnapshot(cell_state &state)
 {
-    state.placements.startReading();
-    state.jobs.startReading();
-    state.idempotencyRecords.startReading();
+    state.placements.startSnapshot();
+    state.jobs.startSnapshot();
+    state.idempotencyRecords.startSnapshot();
     messages::cell_snapshot snapshot;
     snapshot.set_version(1);
     snapshot.set_configuration_version(state.configuration.version());
@@ -115,25 +117,28 @@
     return snapshot.SerializeAsString();
 }
 
-bool readSnapshotChunk(cell_state &state, std::size_t most, std::string *part)
+bool readSnapshotChunk(cell_state &state, std::size_t maxRecords, std::string *chunk)
 {
     messages::cell_snapshot snapshot;
-    const bool isWhole = state.placements.readSome(most, [&](std::uint64_t, const auto &placement) {
-        writePlacement(placement, snapshot.add_placements());
-    }) && state.jobs.readSome(most, [&](std::uint64_t, const auto &job) {
-        writeJob(job, snapshot.add_jobs());
-    }) && state.idempotencyRecords.readSome(most, [&](std::uint64_t, const auto &record) {
-        *snapshot.add_idempotency() = record;
-    });
-    snapshot.AppendToString(part);
-    return isWhole;
+    const bool isComplete =
+        state.placements.readEntries(maxRecords,
+                                     [&](std::uint64_t, const auto &placement) {
+                                         writePlacement(placement, snapshot.add_placements());
+                                     })
+        && state.jobs.readEntries(
+            maxRecords, [&](std::uint64_t, const auto &job) { writeJob(job, snapshot.add_jobs()); })
+        && state.idempotencyRecords.readEntries(maxRecords, [&](std::uint64_t, const auto &record) {
+               *snapshot.add_idempotency() = record;
+           });
+    snapshot.AppendToString(chunk);
+    return isComplete;
 }
 
 std::string serializeCell(cell_state state)
 {
-    constexpr std::size_t all = SIZE_MAX;
+    constexpr std::size_t unlimited = SIZE_MAX;
     auto data = startSnapshot(state);
-    readSnapshotChunk(state, all, &data);
+    readSnapshotChunk(state, unlimited, &data);
     return data;
 }
 
@@ -158,8 +163,8 @@
         fresh.jobs.add(job.submission().id(), readJob(job));
     }
     fresh.endedJobIds.assign(snapshot.ended_jobs().begin(), snapshot.ended_jobs().end());
-    readIdempotency(snapshot, &fresh);
-    readSums(&fresh);
+    readIdempotencyRecords(snapshot, &fresh);
+    rebuildUsage(&fresh);
     fresh.taskCounts.accepted = snapshot.accepted();
     std::copy(snapshot.ended_counts().begin(), snapshot.ended_counts().end(),
               std::begin(fresh.taskCounts.byState));
--- a/modules/filbert_cell/cell_state.cpp
+++ b/modules/filbert_cell/cell_state.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-constexpr int maxTaskFailures = 4;
-constexpr std::size_t distinctTargetsToHold = 3;
+constexpr int maxTaskFailures = 4; // then the task fails for good
+constexpr std::size_t distinctTargetsToHold = 3; // a job that failed on that many is held
 
-void moveTask(cell_state &state, task_record &task, task_state next)
+void setTaskState(cell_state &state, task_record &task, task_state next)
 {
     --state.taskCounts.byState[static_cast<int>(task.state)];
     task.state = next;
     ++state.taskCounts.byState[static_cast<int>(next)];
 }
 
-void endJobIfDone(cell_state &state, job_record &job, std::int64_t wallMs)
+/** Sets the end of a job whose tasks have all ended, and discards the oldest ended jobs. */
+void endJobIfFinished(cell_state &state, job_record &job, std::int64_t wallMs)
 {
     if (job.endedMs != 0 || !hasEnded(job)) {
         return;
@@ -26,13 +27,13 @@
     job.submission.clear_payload();
     state.endedJobIds.push_back(job.submission.id());
     while (state.endedJobIds.size() > state.limits.maxEndedJobs) {
-        state.jobs.take(state.endedJobIds.front());
+        state.jobs.remove(state.endedJobIds.front());
         state.endedJobIds.pop_front();
     }
 }
 
-messages::idempotency_record &addIdempotency(cell_state &state, const std::string &key,
-                                             std::int64_t wallMs)
+messages::idempotency_record &addIdempotencyRecord(cell_state &state, const std::string &key,
+                                                   std::int64_t wallMs)
 {
     const auto number = ++state.lastIdempotencyNumber;
     state.idempotencyNumbers[key] = number;
@@ -43,46 +44,48 @@
     return record;
 }
 
-void dropIdempotency(cell_state &state, const std::string &key)
+void removeIdempotencyRecord(cell_state &state, const std::string &key)
 {
-    state.idempotencyRecords.take(state.idempotencyNumbers.at(key));
+    state.idempotencyRecords.remove(state.idempotencyNumbers.at(key));
     state.idempotencyNumbers.erase(key);
 }
 
-void ageIdempotency(cell_state &state, std::int64_t wallMs)
+/** Removes idempotency records that are older than the retention period. */
+void expireIdempotencyRecords(cell_state &state, std::int64_t wallMs)
 {
     while (!state.idempotencyRecords.empty()) {
         const auto &[number, oldest] = *state.idempotencyRecords.begin();
         if (oldest.wall_ms() + state.limits.idempotencyRetentionMs >= wallMs) {
             return;
         }
-        const auto record = state.idempotencyRecords.take(number);
+        const auto record = state.idempotencyRecords.remove(number);
         state.idempotencyNumbers.erase(record.key());
         if (record.placement_id() == 0) {
             continue;
         }
-        // Still under way: it is looked at again a whole span later.
-        auto &again = addIdempotency(state, record.key(), wallMs);
-        const auto renewed = again.number();
-        again = record;
-        again.set_number(renewed);
-        again.set_wall_ms(wallMs);
+        // Its placement has not ended, so the record is kept for another retention period.
+        auto &renewedRecord = addIdempotencyRecord(state, record.key(), wallMs);
+        const auto newNumber = renewedRecord.number();
+        renewedRecord = record;
+        renewedRecord.set_number(newNumber);
+        renewedRecord.set_wall_ms(wallMs);
     }
 }
 
-bool isIdempotencyFull(const cell_state &state)
+bool isIdempotencyTableFull(const cell_state &state)
 {
     return state.idempotencyRecords.size() >= state.limits.maxIdempotencyRecords;
 }
 
 // ---- configuration --------------------------------------------------------------------------
 
+/** @return the audit record of an accepted change by its request id, or nullptr */
 const messages::audit_record *findRequest(const cell_state &state, const std::string &requestId)
 {
     const auto found =
-        std::find_if(state.audit.rbegin(), state.audit.rend(), [&](const auto &each) {
-            return !requestId.empty() && each.request_id() == requestId
-                && each.outcome() == "accepted";
+        std::find_if(state.audit.rbegin(), state.audit.rend(), [&](const auto &record) {
+            return !requestId.empty() && record.request_id() == requestId
+                && record.outcome() == "accepted";
         });
     return found == state.audit.rend() ? nullptr : &*found;
 }
@@ -132,11 +135,12 @@
         }
         record.set_outcome("refused: " + outcome.detail);
     } else {
-        const auto before = configuration.version();
-        configuration.applyChanges(change.items(), before + 1);
+        const auto previousVersion = configuration.version();
+        configuration.applyChanges(change.items(), previousVersion + 1);
         FILBERT_INVARIANT(configuration.digest() == change.digest(),
-                          "an accepted configuration is the one that was sent");
-        FILBERT_INVARIANT(configuration.version() > before, "configuration versions only rise");
+                          "an accepted configuration has the digest of the submitted one");
+        FILBERT_INVARIANT(configuration.version() > previousVersion,
+                          "configuration versions only increase");
         messages::configuration_delta delta;
         delta.set_version(configuration.version());
         *delta.mutable_items() = change.items();
@@ -155,6 +159,7 @@
 
 // ---- placements -----------------------------------------------------------------------------
 
+/** Moves a job's task to its next state after the end of its placement. */
 void recordJobResult(cell_state &state, ended_placement *ended, std::int64_t wallMs)
 {
     const auto &placement = ended->placement;
@@ -164,7 +169,7 @@
     auto &job = state.jobs.edit(placement.jobId);
     auto &task = job.tasks.at(static_cast<std::size_t>(placement.taskIndex));
     FILBERT_INVARIANT(task.state == task_state::Running && task.placement == placement.id,
-                      "an ending placement is the one its task runs in");
+                      "a placement that ends is the one in which its task runs");
     task.placement = 0;
     const bool mayRunAgain = ended->result == messages::NOT_RUN || placement.isIdempotent;
     if (ended->result == messages::FAILED) {
@@ -172,23 +177,26 @@
         job.failedTargets.insert(placement.target);
     }
     if (ended->result == messages::SUCCEEDED) {
-        moveTask(state, task, task_state::Succeeded);
+        setTaskState(state, task, task_state::Succeeded);
     } else if (mayRunAgain && job.isCancelled) {
-        moveTask(state, task, task_state::Cancelled);
+        setTaskState(state, task, task_state::Cancelled);
     } else if (mayRunAgain && task.failures < maxTaskFailures) {
-        moveTask(state, task, task_state::Waiting);
+        setTaskState(state, task, task_state::Waiting);
         ended->isTaskRequeued = true;
         if (job.failedTargets.size() >= distinctTargetsToHold && job.holdReason.empty()) {
             job.holdReason = "failed on " + std::to_string(job.failedTargets.size())
                 + " different targets: " + ended->reason;
         }
     } else {
-        moveTask(state, task,
-                 ended->result == messages::UNKNOWN ? task_state::Unknown : task_state::Failed);
+        setTaskState(state, task,
+                     ended->result == messages::UNKNOWN ? task_state::Unknown : task_state::Failed);
     }
-    endJobIfDone(state, job, wallMs);
+    endJobIfFinished(state, job, wallMs);
 }
 
+/** Stores the answer of a synchronous request in its idempotency record. Where an answer is too
+    large to be stored, the outcome stays unknown to later requests with the same key.
+*/
 void recordAnswer(cell_state &state, const placement_record &placement,
                   const messages::placement_end &end)
 {
@@ -197,7 +205,8 @@
         return;
     }
     if (end.result() == messages::NOT_RUN) {
-        dropIdempotency(state, placement.idempotencyRecordKey); // it did not run, so a resend may
+        // It did not run, so a retry may.
+        removeIdempotencyRecord(state, placement.idempotencyRecordKey);
         return;
     }
     auto &record = state.idempotencyRecords.edit(known->number());
@@ -215,20 +224,21 @@
     }
 }
 
+/** Ends a placement and releases its resources. @return whether the placement was known */
 bool endPlacement(cell_state &state, const messages::placement_end &end, std::int64_t wallMs,
                   apply_outcome *outcome)
 {
     if (!state.placements.contains(end.placement_id())) {
         return false;
     }
-    ended_placement ended {state.placements.take(end.placement_id()), end.result(), false,
+    ended_placement ended {state.placements.remove(end.placement_id()), end.result(), false,
                            end.reason()};
     const auto &placement = ended.placement;
     auto &target = state.targets.at(placement.target);
     target.used -= placement.need;
     target.placements.erase(placement.id);
     state.usedByTeam[placement.team] -= placement.need;
-    FILBERT_INVARIANT(fitsWithin({}, target.used), "no target gives back more than it held");
+    FILBERT_INVARIANT(fitsWithin({}, target.used), "the usage of a target is never negative");
     if (!placement.idempotencyRecordKey.empty()) {
         recordAnswer(state, placement, end);
     }
@@ -239,18 +249,19 @@
     return true;
 }
 
+/** @return why a placement must be rejected, or None */
 error_kind checkPlacement(const cell_state &state, const messages::placement &place,
                           const resource_amounts &need, std::string *detail)
 {
     const auto target = state.targets.find(place.target());
     if (target == state.targets.end() || target->second.registration.leaving()
         || target->second.registration.epoch() != place.target_epoch()) {
-        *detail = "the target has gone, is leaving or has restarted";
+        *detail = "the target has been removed, is leaving or has restarted";
         return error_kind::NoCapacity;
     }
     const auto capacity = amountsOf(target->second.registration.capacity());
     if (!fitsWithin(target->second.used + need, capacity)) {
-        *detail = "the target has no room";
+        *detail = "the target has not enough free resources";
         return error_kind::NoCapacity;
     }
     const auto *team = state.configuration.team(place.team());
@@ -259,8 +270,8 @@
         return error_kind::Forbidden;
     }
     const auto used = state.usedByTeam.find(place.team());
-    const auto before = used == state.usedByTeam.end() ? resource_amounts {} : used->second;
-    if (!fitsWithin(before + need, limitOf(*team))) {
+    const auto teamUsage = used == state.usedByTeam.end() ? resource_amounts {} : used->second;
+    if (!fitsWithin(teamUsage + need, limitOf(*team))) {
         *detail = "the team is at its upper limit";
         return error_kind::LimitReached;
     }
@@ -276,7 +287,7 @@
         || static_cast<std::size_t>(place.task_index()) >= job->second.tasks.size()
         || job->second.tasks[static_cast<std::size_t>(place.task_index())].state
             != task_state::Waiting) {
-        *detail = "the task is not waiting any more";
+        *detail = "the task is no longer waiting";
         return error_kind::Conflict;
     }
     return error_kind::None;
@@ -286,28 +297,28 @@
                              std::int64_t wallMs)
 {
     apply_outcome outcome;
-    const auto name = place.idempotency_key().empty()
+    const auto recordKey = place.idempotency_key().empty()
         ? std::string {}
         : idempotencyRecordKey(place.team(), "service/" + place.service(), place.idempotency_key());
-    if (const auto *known = findIdempotencyRecord(state, name)) {
-        outcome.storedRecord = *known;
+    if (const auto *existing = findIdempotencyRecord(state, recordKey)) {
+        outcome.storedRecord = *existing;
         outcome.isDuplicate = true;
-        outcome.error = known->request_digest() == place.request_digest()
+        outcome.error = existing->request_digest() == place.request_digest()
             ? error_kind::OutcomeUnknown
             : error_kind::KeyReused;
         return outcome;
     }
     const auto need = taskNeedOf(place.task());
     outcome.error = checkPlacement(state, place, need, &outcome.detail);
-    if (outcome.error == error_kind::None && !name.empty() && isIdempotencyFull(state)) {
+    if (outcome.error == error_kind::None && !recordKey.empty() && isIdempotencyTableFull(state)) {
         outcome.error = error_kind::Overloaded;
-        outcome.detail = "no room for another idempotency record";
+        outcome.detail = "the table of idempotency records is full";
     }
     if (outcome.error != error_kind::None) {
         return outcome;
     }
-    if (!name.empty()) {
-        auto &record = addIdempotency(state, name, wallMs);
+    if (!recordKey.empty()) {
+        auto &record = addIdempotencyRecord(state, recordKey, wallMs);
         record.set_placement_id(place.id());
         record.set_request_digest(place.request_digest());
         record.set_result(messages::UNKNOWN);
@@ -319,13 +330,13 @@
     if (place.job_id() != 0) {
         auto &task =
             state.jobs.edit(place.job_id()).tasks.at(static_cast<std::size_t>(place.task_index()));
-        moveTask(state, task, task_state::Running);
+        setTaskState(state, task, task_state::Running);
         task.placement = place.id();
     }
     state.placements.add(place.id(),
                          placement_record {place.id(), place.job_id(), place.target_epoch(),
                                            place.start_by(), place.target(), place.team(),
-                                           place.service(), name, need, place.task_index(),
+                                           place.service(), recordKey, need, place.task_index(),
                                            place.idempotent()});
     FILBERT_INVARIANT(fitsWithin(target.used, amountsOf(target.registration.capacity())),
                       "no target is overcommitted");
@@ -335,6 +346,7 @@
     return outcome;
 }
 
+/** Applies all placements of a gang. If one is rejected, those before it are undone. */
 apply_outcome applyGang(cell_state &state, const messages::gang_placement &gang,
                         std::int64_t wallMs)
 {
@@ -343,12 +355,12 @@
         if (outcome.error == error_kind::None) {
             continue;
         }
-        for (int taken = 0; taken < i; ++taken) {
+        for (int applied = 0; applied < i; ++applied) {
             messages::placement_end end;
-            end.set_placement_id(gang.placements(taken).id());
+            end.set_placement_id(gang.placements(applied).id());
             end.set_result(messages::NOT_RUN);
-            apply_outcome undone;
-            endPlacement(state, end, wallMs, &undone);
+            apply_outcome ignored;
+            endPlacement(state, end, wallMs, &ignored);
         }
         return outcome;
     }
@@ -357,19 +369,21 @@
 
 // ---- targets --------------------------------------------------------------------------------
 
+/** Registers a target, or updates it. A registration of an older incarnation is rejected. */
 apply_outcome applyTarget(cell_state &state, const messages::target_registration &registration)
 {
     apply_outcome outcome;
     auto &target = state.targets[registration.name()];
     if (registration.epoch() < target.registration.epoch()) {
         outcome.error = error_kind::Conflict;
-        outcome.detail = "a newer start of this target is known";
+        outcome.detail = "a newer incarnation of this target is registered";
         return outcome;
     }
     target.registration = registration;
     return outcome;
 }
 
+/** Removes a target. The outcome of the placements that were running on it is unknown. */
 apply_outcome applyTargetRemoval(cell_state &state, const std::string &name, std::int64_t wallMs)
 {
     apply_outcome outcome;
@@ -398,18 +412,18 @@
                               std::int64_t wallMs)
 {
     apply_outcome outcome;
-    const auto name = submission.idempotency_key().empty()
+    const auto recordKey = submission.idempotency_key().empty()
         ? std::string {}
         : idempotencyRecordKey(submission.team(), "queue/" + submission.queue(),
                                submission.idempotency_key());
-    if (const auto *known = findIdempotencyRecord(state, name)) {
-        outcome.jobId = known->job_id();
+    if (const auto *existing = findIdempotencyRecord(state, recordKey)) {
+        outcome.jobId = existing->job_id();
         outcome.isDuplicate = true;
         return outcome;
     }
-    if (!name.empty() && isIdempotencyFull(state)) {
+    if (!recordKey.empty() && isIdempotencyTableFull(state)) {
         outcome.error = error_kind::Overloaded;
-        outcome.detail = "no room for another idempotency record";
+        outcome.detail = "the table of idempotency records is full";
         return outcome;
     }
     const auto id = state.nextJobId++;
@@ -421,8 +435,8 @@
     state.taskCounts.accepted += static_cast<std::int64_t>(job.tasks.size());
     state.taskCounts.byState[static_cast<int>(task_state::Waiting)] +=
         static_cast<std::int64_t>(job.tasks.size());
-    if (!name.empty()) {
-        addIdempotency(state, name, wallMs).set_job_id(id);
+    if (!recordKey.empty()) {
+        addIdempotencyRecord(state, recordKey, wallMs).set_job_id(id);
     }
     outcome.jobId = id;
     return outcome;
@@ -443,10 +457,10 @@
         job.isCancelled = true;
         for (auto &task : job.tasks) {
             if (task.state == task_state::Waiting) {
-                moveTask(state, task, task_state::Cancelled);
+                setTaskState(state, task, task_state::Cancelled);
             }
         }
-        endJobIfDone(state, job, wallMs);
+        endJobIfFinished(state, job, wallMs);
         break;
     case messages::HOLD:
         job.holdReason = change.reason().empty() ? "held by an operator" : change.reason();
@@ -496,14 +510,16 @@
     case body::BODY_NOT_SET:
         break;
     }
-    // A newer version's command: all members of this version skip it alike.
+    // The command is of a newer software version; all members of this version ignore it alike.
     return {};
 }
 
-/** What has come of a command, as bytes for the running digest. */
-struct digest_part
+/** The effects of a command that go into the running digest, as bytes. They include the previous
+    digest, so the digests of two members that differ once stay different.
+*/
+struct digest_input
 {
-    std::uint64_t before;
+    std::uint64_t previousDigest;
     std::uint64_t error;
     std::uint64_t placements;
     std::uint64_t jobs;
@@ -517,18 +533,18 @@
 
 apply_outcome applyCommand(cell_state &state, const messages::command &command, std::int64_t wallMs)
 {
-    ageIdempotency(state, wallMs);
+    expireIdempotencyRecords(state, wallMs);
     auto outcome = applyBody(state, command, wallMs);
     ++state.commandsApplied;
-    const digest_part part {state.digest,
-                            static_cast<std::uint64_t>(outcome.error),
-                            state.placements.size(),
-                            state.jobs.size(),
-                            state.idempotencyRecords.size(),
-                            static_cast<std::uint64_t>(state.configuration.version()),
-                            state.taskCounts.byState[static_cast<int>(task_state::Running)],
-                            state.taskCounts.byState[static_cast<int>(task_state::Waiting)]};
-    state.digest = XXH64(&part, sizeof part, state.commandsApplied);
+    const digest_input input {state.digest,
+                              static_cast<std::uint64_t>(outcome.error),
+                              state.placements.size(),
+                              state.jobs.size(),
+                              state.idempotencyRecords.size(),
+                              static_cast<std::uint64_t>(state.configuration.version()),
+                              state.taskCounts.byState[static_cast<int>(task_state::Running)],
+                              state.taskCounts.byState[static_cast<int>(task_state::Waiting)]};
+    state.digest = XXH64(&input, sizeof input, state.commandsApplied);
     return outcome;
 }
 
@@ -571,26 +587,27 @@
         byTarget[placement.target] += placement.need;
         byTeam[placement.team] += placement.need;
         FILBERT_INVARIANT(state.targets.at(placement.target).placements.contains(id),
-                          "a target knows its placements");
+                          "a placement is listed at its target");
         if (placement.jobId != 0) {
             const auto &task = state.jobs.at(placement.jobId)
                                    .tasks.at(static_cast<std::size_t>(placement.taskIndex));
             FILBERT_INVARIANT(task.state == task_state::Running && task.placement == id,
-                              "a task runs in one place");
+                              "a placement's task is running in it");
         }
     }
     for (const auto &[name, target] : state.targets) {
-        FILBERT_INVARIANT(target.used == byTarget[name], "a target's sum agrees");
+        FILBERT_INVARIANT(target.used == byTarget[name], "a target uses the sum of its placements");
     }
     for (const auto &[name, used] : state.usedByTeam) {
-        FILBERT_INVARIANT(used == byTeam[name], "a team's sum agrees");
+        FILBERT_INVARIANT(used == byTeam[name], "a team uses the sum of its placements");
     }
     std::int64_t sum = 0;
     for (const auto count : state.taskCounts.byState) {
-        FILBERT_INVARIANT(count >= 0, "no count is negative");
+        FILBERT_INVARIANT(count >= 0, "no task count is negative");
         sum += count;
     }
-    FILBERT_INVARIANT(sum == state.taskCounts.accepted, "every accepted task is counted once");
+    FILBERT_INVARIANT(sum == state.taskCounts.accepted,
+                      "the task counts add up to all accepted tasks");
 }
 
 } // namespace filbert
--- a/modules/filbert_cell/snapshot_map.h
+++ b/modules/filbert_cell/snapshot_map.h
@@ -10,14 +10,16 @@
 
 namespace filbert {
 
-/** An ordered map that can be read as of one moment, a part at a time, while it goes on changing.
+/** An ordered map of which a snapshot can be read in chunks while the map goes on changing.
 
-    Use it for the large parts of a replicated state: reading all of them at once would stall the
-    loop. Until reading has passed an entry, a change of it keeps a copy of what it was (copy on
-    write for each entry), so the cost of a snapshot is spread and its extra memory is bounded by
-    what changes meanwhile.
+    Use it for the large containers of a replicated state: reading one as a whole would block the
+    event loop for too long. A change of an entry that the snapshot has not read yet saves a copy of
+    the old value (copy on write for each entry). So the cost of a snapshot is spread over time, and
+    the extra memory is bounded by what changes meanwhile.
 
-    @see startReading, readSome
+    Only one snapshot can be read at a time.
+
+    @see startSnapshot, readEntries
 */
 template <typename Key, typename Value>
 class snapshot_map
@@ -34,100 +36,99 @@
     bool empty() const { return entries.empty(); }
     std::size_t size() const { return entries.size(); }
 
-    /** @param key of an entry that is held @return the entry, to be changed */
+    /** @param key must exist @return the value, to be changed */
     Value &edit(const Key &key)
     {
         auto &value = entries.at(key);
-        keepIfUnread(key, value);
+        saveIfUnread(key, value);
         return value;
     }
 
-    /** Adds an entry; one that is held already stays as it is. @return the entry */
+    /** Adds an entry; an existing one stays as it is. @return the value in the map */
     Value &add(const Key &key, Value value)
     {
-        const auto [at, isNew] = entries.emplace(key, std::move(value));
+        const auto [it, isNew] = entries.emplace(key, std::move(value));
         if (isNew && isUnread(key)) {
-            passed.insert(key); // it is younger than the moment that is read
+            skippedKeys.insert(key); // it was added after the snapshot was started
         }
-        return at->second;
+        return it->second;
     }
 
-    /** Takes an entry out. @param key of an entry that is held @return what it was */
-    Value take(const Key &key)
+    /** Removes an entry. @param key must exist @return the removed value */
+    Value remove(const Key &key)
     {
-        const auto at = entries.find(key);
-        FILBERT_INVARIANT(at != entries.end(), "what is taken out is held");
-        keepIfUnread(key, at->second);
-        auto value = std::move(at->second);
-        entries.erase(at);
+        const auto it = entries.find(key);
+        FILBERT_INVARIANT(it != entries.end(), "a removed entry exists");
+        saveIfUnread(key, it->second);
+        auto value = std::move(it->second);
+        entries.erase(it);
         return value;
     }
 
-    /** Fixes the present moment as the one that readSome() reads. */
-    void startReading()
+    /** Starts a snapshot of the present entries, which readEntries() then reads. */
+    void startSnapshot()
     {
-        stopReading();
-        isReading = true;
+        endSnapshot();
+        isSnapshotActive = true;
     }
 
-    /** Forgets the moment that was being read. */
-    void stopReading()
+    /** Ends the snapshot, whether it was read completely or not. */
+    void endSnapshot()
     {
-        isReading = false;
+        isSnapshotActive = false;
         hasCursor = false;
-        kept.clear();
-        passed.clear();
+        savedEntries.clear();
+        skippedKeys.clear();
     }
 
-    /** Reads some entries as they were at startReading().
+    /** Reads some entries of the snapshot, as they were at startSnapshot().
 
-        @param most   how many at the most
-        @param visit  called with key and value of each, in no order that means anything
-        @return whether everything has been read; reading has ended then
+        @param maxCount  number of entries
+        @param visit     called with key and value of each entry, in no particular order
+        @return whether all entries have been read; the snapshot has ended then
     */
     template <typename Visitor>
-    bool readSome(std::size_t most, Visitor visit)
+    bool readEntries(std::size_t maxCount, Visitor visit)
     {
-        if (!isReading) {
+        if (!isSnapshotActive) {
             return true;
         }
         std::size_t count = 0;
-        for (; count < most && !kept.empty(); ++count) {
-            visit(kept.back().first, kept.back().second);
-            kept.pop_back();
+        for (; count < maxCount && !savedEntries.empty(); ++count) {
+            visit(savedEntries.back().first, savedEntries.back().second);
+            savedEntries.pop_back();
         }
-        auto at = hasCursor ? entries.upper_bound(cursor) : entries.begin();
-        for (; count < most && at != entries.end(); ++count, ++at) {
-            if (passed.erase(at->first) == 0) {
-                visit(at->first, at->second);
+        auto it = hasCursor ? entries.upper_bound(cursor) : entries.begin();
+        for (; count < maxCount && it != entries.end(); ++count, ++it) {
+            if (skippedKeys.erase(it->first) == 0) {
+                visit(it->first, it->second);
             }
-            cursor = at->first;
+            cursor = it->first;
             hasCursor = true;
         }
-        if (at != entries.end() || !kept.empty()) {
+        if (it != entries.end() || !savedEntries.empty()) {
             return false;
         }
-        stopReading();
+        endSnapshot();
         return true;
     }
 
 private:
-    bool isUnread(const Key &key) const { return isReading && (!hasCursor || cursor < key); }
+    bool isUnread(const Key &key) const { return isSnapshotActive && (!hasCursor || cursor < key); }
 
-    void keepIfUnread(const Key &key, const Value &value)
+    void saveIfUnread(const Key &key, const Value &value)
     {
-        if (isUnread(key) && passed.insert(key).second) {
-            kept.emplace_back(key, value);
+        if (isUnread(key) && skippedKeys.insert(key).second) {
+            savedEntries.emplace_back(key, value);
         }
     }
 
     entries_map entries;
-    std::vector<std::pair<Key, Value>>
-        kept; // as they were, of entries that changed before their turn
-    std::set<Key> passed; // beyond the cursor, but not to be read there any more
+    std::vector<std::pair<Key, Value>> savedEntries; // old values of entries changed before a read
+    std::set<Key> skippedKeys; // keys beyond the cursor that are not to be read from the map
     Key cursor {};
     bool hasCursor = false;
-    bool isReading = false;
+    bool isSnapshotActive = false;
 };
 
 } // namespace filbert
