--- a/extras/planted_faults.sh
+++ b/extras/planted_faults.sh
@@ -74,7 +74,7 @@
 plant "a lost answer counts as not run" modules/filbert_gateway/service_calls.cpp \
     's/isKnownNotRun \|\| error == error_kind::ConnectionFailed/isKnownNotRun || error/'
 plant "idempotency records are passed over" modules/filbert_cell/cell_state.cpp \
-    's/const auto name = place\.idempotency_key\(\)\.empty\(\)/const auto name = !place.id() || true/'
+    's/const auto recordKey = place\.idempotency_key\(\)\.empty\(\)/const auto recordKey = !place.id() || true/'
 plant "room on a target is not checked" modules/filbert_cell/cell_state.cpp \
     's/if \(!fitsWithin\(target->second\.used \+ need, capacity\)\)/if (!fitsWithin(need, capacity))/'
 plant "a resent change is taken again" modules/filbert_cell/cell_state.cpp \
@@ -88,6 +88,6 @@
 plant "a target is called drained too early" modules/filbert_controller/target_leases.cpp \
     's/live\.isLeaving && hasNoWork\(state, target\)/live.isLeaving/'
 plant "a snapshot misses what changed before its turn" modules/filbert_cell/snapshot_map.h \
-    's/kept\.emplace_back\(key, value\);//'
+    's/savedEntries\.emplace_back\(key, value\);//'
 echo "$missed not caught"
 [ $missed -eq 0 ]
