--- a/modules/filbert_gateway/configuration_lease.cpp
+++ b/modules/filbert_gateway/configuration_lease.cpp
@@ -18,26 +18,26 @@
 bool applyGrant(configuration_lease &lease, const messages::configuration_grant &grant,
                 time_point sentAt)
 {
-    const auto held = lease.configuration.version();
-    if (grant.version() < held) {
-        return false; // versions never fall
+    const auto currentVersion = lease.configuration.version();
+    if (grant.version() < currentVersion) {
+        return false; // a late answer; versions never decrease
     }
     const bool isDelta = grant.from_version() != 0;
-    if (isDelta && grant.from_version() != held) {
+    if (isDelta && grant.from_version() != currentVersion) {
         return false;
     }
-    if (!isDelta || grant.version() != held) {
+    if (!isDelta || grant.version() != currentVersion) {
         auto next = isDelta ? lease.configuration : cell_configuration {};
         next.applyChanges(grant.items(), grant.version());
         if (next.digest() != grant.digest() && grant.version() != 0) {
             log_line {"configuration_digest_differs", log_line::severity::Error}
                 .with("version", grant.version())
                 .with("from_version", grant.from_version());
-            lease.configuration.clear(); // the next hello gets the whole
+            lease.configuration.clear(); // the next hello requests a full copy
             lease.expiresAt = {};
             return false;
         }
-        if (grant.version() != held) {
+        if (grant.version() != currentVersion) {
             log_line {"configuration_in_force"}
                 .with("version", grant.version())
                 .with("items", grant.items_size());
--- a/modules/filbert_gateway/controller_links.cpp
+++ b/modules/filbert_gateway/controller_links.cpp
@@ -7,10 +7,19 @@
 
 namespace {
 
+/** Delay after a failed send or a redirect that names no usable address. */
 constexpr milliseconds retryDelay {50};
-constexpr milliseconds silentLeaderPause {500};
-constexpr milliseconds silenceTimeout {1'000};
-constexpr milliseconds switchPause {200};
+
+/** Minimum time since the last switch before an unresponsive leader is left. */
+constexpr milliseconds unresponsiveSwitchInterval {500};
+
+/** Time for which redirects to an unresponsive leader are ignored. */
+constexpr milliseconds unresponsivePeriod {1'000};
+
+/** Minimum time between two switches after failed sends or redirects that name no usable address.
+ */
+constexpr milliseconds minSwitchInterval {200};
+
 constexpr int messageFormat = 1;
 
 } // namespace
@@ -22,7 +31,7 @@
     , addresses {addresses}
     , transport {transport}
 {
-    FILBERT_INVARIANT(!addresses.empty(), "at least one controller is named");
+    FILBERT_INVARIANT(!addresses.empty(), "at least one controller address is given");
     for (const auto &address : addresses) {
         transport.connect(address);
     }
@@ -31,11 +40,11 @@
 void controller_links::request(messages::envelope &&envelope, milliseconds timeout,
                                resend_rule rule, time_point now, handler onAnswer)
 {
-    const auto id = ++lastExchange;
+    const auto id = ++lastExchangeId;
     envelope.set_exchange(id);
     envelope.set_format(messageFormat);
     envelope.set_from(name);
-    auto &added = open[id];
+    auto &added = pending[id];
     added.envelope = std::move(envelope);
     added.onAnswer = std::move(onAnswer);
     added.deadline = now + timeout;
@@ -43,15 +52,15 @@
     trySend(added, now);
 }
 
-void controller_links::trySend(exchange &which, time_point now)
+void controller_links::trySend(pending_exchange &exchange, time_point now)
 {
-    which.sentAt = now;
-    which.mayHaveBeenTaken = transport.send(leader(), which.envelope);
-    which.unansweredSends += which.mayHaveBeenTaken ? 1 : 0;
-    which.retryAt = now + retryDelay;
-    if (!which.mayHaveBeenTaken && now - lastSwitch >= switchPause) {
-        lastSwitch = now;
-        tryNext(now);
+    exchange.sentAt = now;
+    exchange.isAwaitingAnswer = transport.send(leader(), exchange.envelope);
+    exchange.unansweredSends += exchange.isAwaitingAnswer ? 1 : 0;
+    exchange.retryAt = now + retryDelay;
+    if (!exchange.isAwaitingAnswer && now - lastSwitchAt >= minSwitchInterval) {
+        lastSwitchAt = now;
+        switchToNext(now);
     }
 }
 
@@ -60,106 +69,108 @@
     return address == unresponsiveAddress && now < unresponsiveUntil;
 }
 
-void controller_links::tryNext(time_point now)
+void controller_links::switchToNext(time_point now)
 {
-    current = (current + 1) % addresses.size();
+    leaderIndex = (leaderIndex + 1) % addresses.size();
     if (isUnresponsive(leader(), now)) {
-        current = (current + 1) % addresses.size();
+        leaderIndex = (leaderIndex + 1) % addresses.size();
     }
 }
 
 void controller_links::leaveUnresponsiveLeader(time_point now)
 {
-    // Others go on naming it as the leader until they elect a new one.
+    // The other controllers still redirect to it until they have elected a new leader.
     unresponsiveAddress = leader();
-    unresponsiveUntil = now + silenceTimeout;
-    lastSwitch = now;
+    unresponsiveUntil = now + unresponsivePeriod;
+    lastSwitchAt = now;
     for (const auto &address : addresses) {
-        transport.reconnect(
-            address); // whatever lost track of one connection may have lost them all
+        // A fault in the network that broke one connection may have broken all of them.
+        transport.reconnect(address);
     }
-    tryNext(now);
-    for (auto &[id, which] : open) {
-        if (which.mayHaveBeenTaken && which.rule == resend_rule::WhenUnanswered) {
-            which.mayHaveBeenTaken = false;
-            which.retryAt = now;
+    switchToNext(now);
+    for (auto &[id, exchange] : pending) {
+        if (exchange.isAwaitingAnswer && exchange.rule == resend_rule::WhenUnanswered) {
+            exchange.isAwaitingAnswer = false;
+            exchange.retryAt = now;
         }
     }
 }
 
-void controller_links::point(const std::string &address)
+void controller_links::switchTo(const std::string &address)
 {
     const auto found = std::find(addresses.begin(), addresses.end(), address);
     if (found == addresses.end()) {
         addresses.push_back(address);
-        current = addresses.size() - 1;
+        leaderIndex = addresses.size() - 1;
         return;
     }
-    current = static_cast<std::size_t>(found - addresses.begin());
+    leaderIndex = static_cast<std::size_t>(found - addresses.begin());
 }
 
 bool controller_links::handleAnswer(const std::string &address, const messages::envelope &envelope,
                                     time_point now)
 {
-    const auto found = open.find(envelope.exchange());
-    if (found == open.end()) {
+    const auto found = pending.find(envelope.exchange());
+    if (found == pending.end()) {
         return false;
     }
     if (envelope.body_case() == messages::envelope::kNotLeader) {
-        auto &which = found->second;
-        which.mayHaveBeenTaken = false;
-        --which.unansweredSends;
-        which.retryAt = now + retryDelay;
+        auto &exchange = found->second;
+        exchange.isAwaitingAnswer = false;
+        --exchange.unansweredSends;
+        exchange.retryAt = now + retryDelay;
         const auto &hint = envelope.not_leader().address();
         if (!hint.empty() && hint != address && !isUnresponsive(hint, now)) {
-            point(hint);
-            which.retryAt = now;
-        } else if (address == leader() && now - lastSwitch >= switchPause) {
-            lastSwitch = now;
-            tryNext(now);
+            switchTo(hint);
+            exchange.retryAt = now;
+        } else if (address == leader() && now - lastSwitchAt >= minSwitchInterval) {
+            lastSwitchAt = now;
+            switchToNext(now);
         }
         return true;
     }
-    lastAnswer = now;
+    lastAnswerAt = now;
     unresponsiveUntil = address == unresponsiveAddress ? time_point {} : unresponsiveUntil;
     const auto answered = std::move(found->second);
-    open.erase(found);
+    pending.erase(found);
     answered.onAnswer({}, envelope);
     return true;
 }
 
 void controller_links::tick(time_point now)
 {
-    std::vector<std::uint64_t> late;
-    bool isLeaderSilent = false;
-    for (auto &[id, which] : open) {
-        if (now >= which.deadline) {
-            late.push_back(id);
-        } else if (!which.mayHaveBeenTaken && now >= which.retryAt) {
-            trySend(which, now);
-        } else if (which.mayHaveBeenTaken && now - which.sentAt >= which.patience) {
-            // If nothing at all has come since, the leader may be cut off, or lead no more.
-            isLeaderSilent = isLeaderSilent || lastAnswer < which.sentAt;
-            if (which.rule == resend_rule::WhenUnanswered) {
-                which.mayHaveBeenTaken = false;
-                which.retryAt = now;
-                which.patience = which.patience * 2;
+    std::vector<std::uint64_t> expired;
+    bool isLeaderUnresponsive = false;
+    for (auto &[id, exchange] : pending) {
+        if (now >= exchange.deadline) {
+            expired.push_back(id);
+        } else if (!exchange.isAwaitingAnswer && now >= exchange.retryAt) {
+            trySend(exchange, now);
+        } else if (exchange.isAwaitingAnswer && now - exchange.sentAt >= exchange.answerTimeout) {
+            // If no answer at all has arrived since then, the leader may be unreachable, or may no
+            // longer be the leader.
+            isLeaderUnresponsive = isLeaderUnresponsive || lastAnswerAt < exchange.sentAt;
+            if (exchange.rule == resend_rule::WhenUnanswered) {
+                exchange.isAwaitingAnswer = false;
+                exchange.retryAt = now;
+                exchange.answerTimeout = exchange.answerTimeout * 2;
             }
         }
     }
-    if (isLeaderSilent && now - lastSwitch >= silentLeaderPause) {
+    if (isLeaderUnresponsive && now - lastSwitchAt >= unresponsiveSwitchInterval) {
         leaveUnresponsiveLeader(now);
     }
-    for (const auto id : late) {
-        const auto which = std::move(open.at(id));
-        open.erase(id);
-        which.onAnswer(which.unansweredSends > 0 ? error_kind::Timeout : error_kind::NoLeader, {});
+    for (const auto id : expired) {
+        const auto exchange = std::move(pending.at(id));
+        pending.erase(id);
+        exchange.onAnswer(exchange.unansweredSends > 0 ? error_kind::Timeout : error_kind::NoLeader,
+                          {});
     }
 }
 
 bool controller_links::isIdle() const
 {
-    return std::all_of(open.begin(), open.end(),
+    return std::all_of(pending.begin(), pending.end(),
                        [](const auto &each) { return each.second.envelope.has_hello(); });
 }
 
@@ -174,13 +185,13 @@
     if (members.members_size() == 0) {
         return;
     }
-    const auto kept = leader();
+    const auto leaderAddress = leader();
     std::erase_if(addresses, [&](const auto &address) {
-        return address != kept
+        return address != leaderAddress
             && std::none_of(members.members().begin(), members.members().end(),
                             [&](const auto &member) { return member.address() == address; });
     });
-    point(kept);
+    switchTo(leaderAddress);
 }
 
 } // namespace filbert
--- a/modules/filbert_gateway/gateway.cpp
+++ b/modules/filbert_gateway/gateway.cpp
@@ -1,7 +1,7 @@
 #include "gateway.h"
 
 #include "filbert_transport/http_server.h"
-#include "gateway_parts.h"
+#include "gateway_state.h"
 #include "job_routes.h"
 #include "operator_routes.h"
 #include "service_calls.h"
@@ -15,17 +15,17 @@
 namespace {
 
 constexpr std::string_view bearerPrefix = "Bearer ";
-constexpr double mostRetryTokens = 100;
-constexpr std::size_t keptUses = 100'000;
+constexpr double maxRetryTokens = 100;
+constexpr std::size_t maxUsedPlacements = 100'000; // the oldest are forgotten
 
-using route_handler = void (*)(gateway::parts &, http_request &&, const std::string &name);
+using route_handler = void (*)(gateway::shared_state &, http_request &&, const std::string &name);
 
-/** One row of the interface: what is called for a method and a path. */
+/** The function that handles a method and a path of the HTTP interface. */
 struct route
 {
     std::string_view method;
-    std::string_view prefix; // what follows it is the name
-    std::string_view suffix; // behind the name
+    std::string_view prefix; // the whole path, or if it ends with '/', the part before the name
+    std::string_view suffix; // the part after the name
     route_handler handle;
 };
 
@@ -60,66 +60,66 @@
     return name->find('/') == std::string::npos;
 }
 
-void answerHealth(gateway::parts &parts, const http_request &request, bool isReady)
+void answerHealth(gateway::shared_state &state, const http_request &request, bool isReady)
 {
     http_response answer;
     answer.contentType = "text/plain";
     if (request.path == "/metrics") {
-        answer.body = parts.metrics.text();
+        answer.body = state.metrics.text();
     } else if (request.path == "/healthz") {
         answer.body = "ok\n";
     } else {
         answer.status = isReady ? 200 : 503;
         answer.body = isReady ? "ready\n" : "not ready\n";
     }
-    parts.callers.respond(request.id, std::move(answer));
+    state.callers.respond(request.id, std::move(answer));
 }
 
-void sendHello(gateway::parts &parts)
+void sendHello(gateway::shared_state &state)
 {
     messages::envelope envelope;
-    *envelope.mutable_hello() = makeHello(parts.lease, parts.settings.name);
+    *envelope.mutable_hello() = makeHello(state.lease, state.settings.name);
     envelope.mutable_hello()->set_leaving(false);
-    parts.isHelloPending = true;
-    const auto sentAt = parts.now;
-    constexpr milliseconds patience {800};
-    parts.links.request(std::move(envelope), patience, resend_rule::Never, parts.now,
-                        [&parts, sentAt](std::error_code error, const messages::envelope &answer) {
-                            parts.isHelloPending = false;
+    state.isHelloPending = true;
+    const auto sentAt = state.now;
+    constexpr milliseconds answerTimeout {800};
+    state.links.request(std::move(envelope), answerTimeout, resend_rule::Never, state.now,
+                        [&state, sentAt](std::error_code error, const messages::envelope &answer) {
+                            state.isHelloPending = false;
                             if (error || !answer.has_grant()) {
                                 return;
                             }
-                            applyGrant(parts.lease, answer.grant(), sentAt);
-                            parts.links.setMembers(parts.lease.members);
-                            parts.targets.setGateways(parts.lease.gatewayCount);
-                            parts.metrics.setConfigurationVersion(
-                                parts.lease.configuration.version());
+                            applyGrant(state.lease, answer.grant(), sentAt);
+                            state.links.setMembers(state.lease.members);
+                            state.targets.setGateways(state.lease.gatewayCount);
+                            state.metrics.setConfigurationVersion(
+                                state.lease.configuration.version());
                         });
 }
 
 } // namespace
 
-bool gateway::parts::isFirstUse(std::uint64_t placement)
+bool gateway::shared_state::isFirstUse(std::uint64_t placement)
 {
-    if (!used.insert(placement).second) {
+    if (!usedPlacements.insert(placement).second) {
         return false;
     }
     usedPlacementsByAge.push_back(placement);
-    if (usedPlacementsByAge.size() > keptUses) {
-        used.erase(usedPlacementsByAge.front());
+    if (usedPlacementsByAge.size() > maxUsedPlacements) {
+        usedPlacements.erase(usedPlacementsByAge.front());
         usedPlacementsByAge.pop_front();
     }
     return true;
 }
 
-void gateway::parts::answerProblem(std::uint64_t request, error_kind kind,
-                                   const std::string &detail, milliseconds retryAfter)
+void gateway::shared_state::answerProblem(std::uint64_t request, error_kind kind,
+                                          const std::string &detail, milliseconds retryAfter)
 {
     callers.respond(request, problemResponse(kind, detail, retryAfter));
 }
 
-void gateway::parts::answerMessage(std::uint64_t request, int status,
-                                   const google::protobuf::Message &message)
+void gateway::shared_state::answerMessage(std::uint64_t request, int status,
+                                          const google::protobuf::Message &message)
 {
     http_response answer;
     answer.status = status;
@@ -127,15 +127,16 @@
     callers.respond(request, std::move(answer));
 }
 
-void gateway::parts::answerFailure(std::uint64_t request, std::error_code error,
-                                   const messages::envelope &answer)
+void gateway::shared_state::answerFailure(std::uint64_t request, std::error_code error,
+                                          const messages::envelope &answer)
 {
     if (error) {
-        answerProblem(request, errorKindOf(error), "no controller answered", milliseconds {1'000});
+        answerProblem(request, errorKindOf(error), "no controller answered the request",
+                      milliseconds {1'000});
         return;
     }
     if (!answer.has_refused()) {
-        answerProblem(request, error_kind::Internal, "an unexpected answer of a controller");
+        answerProblem(request, error_kind::Internal, "unexpected answer from a controller");
         return;
     }
     const auto &refusal = answer.refused();
@@ -143,23 +144,23 @@
                   {refusal.retry_after_ms()});
 }
 
-std::error_code authenticate(const gateway::parts &parts, const http_request &request,
+std::error_code authenticate(const gateway::shared_state &state, const http_request &request,
                              key_role role, key_owner *owner)
 {
     if (!request.authorization.starts_with(bearerPrefix)) {
         return error_kind::Unauthorized;
     }
     const auto token = std::string_view {request.authorization}.substr(bearerPrefix.size());
-    const auto &configuration = parts.lease.configuration;
-    const auto &bootstrap = parts.settings.bootstrapOperator;
+    const auto &configuration = state.lease.configuration;
+    const auto &bootstrap = state.settings.bootstrapOperator;
     const bool mayBootstrap = role == key_role::Operator && !configuration.hasOperators()
-        && parts.now < parts.lease.expiresAt && !bootstrap.id().empty();
+        && state.now < state.lease.expiresAt && !bootstrap.id().empty();
     if (mayBootstrap && keyIdOf(token) == bootstrap.id()) {
         *owner = {key_role::Operator, "bootstrap", bootstrap.id()};
         return isSecretValid(secretOf(token), bootstrap) ? std::error_code {}
                                                          : error_kind::Unauthorized;
     }
-    if (!isInForce(parts.lease, parts.now)) {
+    if (!isInForce(state.lease, state.now)) {
         return error_kind::NotInForce;
     }
     if (const auto error = configuration.authenticate(token, owner)) {
@@ -170,7 +171,8 @@
 
 gateway::gateway(const gateway_settings &settings, controller_links &links, caller_port &callers,
                  target_port &targets, gateway_metrics &metrics)
-    : self {std::make_unique<parts>(parts {settings, links, callers, targets, metrics})}
+    : state {
+        std::make_unique<shared_state>(shared_state {settings, links, callers, targets, metrics})}
 {
 }
 
@@ -178,10 +180,10 @@
 
 void gateway::handleRequest(http_request &&request, time_point now)
 {
-    self->now = now;
+    state->now = now;
     const auto &path = request.path;
     if (path == "/healthz" || path == "/readyz" || path == "/metrics") {
-        answerHealth(*self, request, isReady(now));
+        answerHealth(*state, request, isReady(now));
         return;
     }
     bool isKnownPath = false;
@@ -192,57 +194,57 @@
         }
         isKnownPath = true;
         if (row.method == request.method) {
-            row.handle(*self, std::move(request), name);
+            row.handle(*state, std::move(request), name);
             return;
         }
     }
-    self->answerProblem(request.id,
-                        isKnownPath ? error_kind::MethodNotAllowed : error_kind::NotFound, path);
+    state->answerProblem(request.id,
+                         isKnownPath ? error_kind::MethodNotAllowed : error_kind::NotFound, path);
 }
 
 void gateway::handleOrder(const messages::envelope &envelope, time_point now)
 {
-    self->now = now;
+    state->now = now;
     if (envelope.has_dispatched()) {
-        returnUnusedGrant(*self, envelope.dispatched());
+        returnUnusedGrant(*state, envelope.dispatched());
     } else if (envelope.has_start()) {
-        relayStartOrder(*self, envelope.start());
+        relayStartOrder(*state, envelope.start());
     } else if (envelope.has_stop()) {
-        relayStopOrder(*self, envelope.stop());
+        relayStopOrder(*state, envelope.stop());
     } else if (envelope.has_notice()) {
-        handlePlacementNotice(*self, envelope.notice());
+        handlePlacementNotice(*state, envelope.notice());
     }
 }
 
 void gateway::tick(time_point now)
 {
-    self->now = now;
-    self->links.tick(now);
-    while (!self->later.empty() && self->later.begin()->first <= now) {
-        const auto due = self->later.extract(self->later.begin());
+    state->now = now;
+    state->links.tick(now);
+    while (!state->timers.empty() && state->timers.begin()->first <= now) {
+        const auto due = state->timers.extract(state->timers.begin());
         due.mapped()();
     }
-    if (now >= self->nextHello && !self->isHelloPending) {
-        self->nextHello = now + self->settings.helloPeriod;
-        sendHello(*self);
+    if (now >= state->nextHelloAt && !state->isHelloPending) {
+        state->nextHelloAt = now + state->settings.helloPeriod;
+        sendHello(*state);
     }
-    self->retryTokens = std::min(self->retryTokens, mostRetryTokens);
+    state->retryTokens = std::min(state->retryTokens, maxRetryTokens);
 }
 
 void gateway::startDraining(time_point now)
 {
-    self->now = now;
-    self->isStopping = true;
+    state->now = now;
+    state->isDraining = true;
 }
 
 bool gateway::hasLeaderContact(time_point now) const
 {
-    return now < self->lease.expiresAt;
+    return now < state->lease.expiresAt;
 }
 
 bool gateway::isReady(time_point now) const
 {
-    return !self->isStopping && isInForce(self->lease, now);
+    return !state->isDraining && isInForce(state->lease, now);
 }
 
 } // namespace filbert
--- a/modules/filbert_gateway/gateway.h
+++ b/modules/filbert_gateway/gateway.h
@@ -11,7 +11,7 @@
 
 namespace filbert {
 
-/** Answers callers. */
+/** Sends answers to HTTP clients. */
 class caller_port
 {
 public:
@@ -22,16 +22,16 @@
 /** One order or request to a target. */
 struct target_call
 {
-    std::uint64_t id = 0; // for cancel(); 0 = it is never cancelled
+    std::uint64_t id = 0; // for cancel(); 0 if the call is never cancelled
     std::string address; // IP:port
     std::string path;
     std::vector<http_header> headers;
     std::string body;
     milliseconds timeout;
-    bool needsNewConnection = false;
+    bool needsNewConnection = false; // instead of one that is kept open between calls
 };
 
-/** Calls targets; each call ends with one call of its handler. */
+/** Sends requests to targets. Each call ends with exactly one call of its handler. */
 class target_port
 {
 public:
@@ -40,11 +40,17 @@
     virtual ~target_port() = default;
     virtual void call(target_call &&call, handler onAnswer) = 0;
 
-    /** Ends a call whose answer will not come: ConnectionFailed if not a byte of it has left, else
-        TargetLost. @param id of the call; one that has ended already is passed over */
+    /** Ends a call whose answer will not arrive: with ConnectionFailed if not a byte of the request
+        was sent, otherwise with TargetLost. A call that has already ended is ignored.
+
+        @param id  of the call
+    */
     virtual void cancel(std::uint64_t id) = 0;
 
-    /** Divides a target's connections over the gateways. @param gateways how many there are */
+    /** Divides the connections that a target accepts among the gateways.
+
+        @param gateways  number of gateways in the cell
+    */
     virtual void setGateways(int gateways) = 0;
 };
 
@@ -52,49 +58,54 @@
 struct gateway_settings
 {
     std::string name;
-    messages::access_key bootstrapOperator; // counts while no operator is configured
+    messages::access_key bootstrapOperator; // valid while no operator is configured
     milliseconds helloPeriod {500};
     milliseconds defaultDeadline {10'000};
     milliseconds maxDeadline {120'000};
-    double retryBudget = 0.1; // retries for each first try
+    double retryBudget = 0.1; // retries that each request adds to the budget
 };
 
-/** An entry host's role: callers, targets and operators on one side, the leader on the other.
+/** Serves callers, job submitters, targets and operators over HTTP by relaying their requests to
+    the leader, and relays the leader's orders to targets.
 
-    It keeps no durable state. It reads no clock: the program around it passes the time.
+    It keeps no durable state, opens no sockets and reads no clock: the program around it provides
+    the ports and passes the time.
 */
 class gateway
 {
 public:
-    /** All references outlive the gateway. */
+    /** All objects passed by reference must outlive the gateway, except the settings. */
     gateway(const gateway_settings &settings, controller_links &links, caller_port &callers,
             target_port &targets, gateway_metrics &metrics);
     ~gateway();
     gateway(const gateway &) = delete;
     gateway &operator=(const gateway &) = delete;
 
-    /** A whole request came in. */
+    /** Handles a complete HTTP request. It is answered once, now or later, through caller_port. */
     void handleRequest(http_request &&request, time_point now);
 
-    /** A controller sent what no request waits for: an order for a target, or a grant too late. */
+    /** Handles a controller's message that answers no pending request: an order for a target, a
+        placement notice, or a grant that arrives too late. */
     void handleOrder(const messages::envelope &envelope, time_point now);
 
-    /** Lets time pass; call it every 10 to 50 ms. */
+    /** Handles timeouts, retries and hellos that are due. Call it every 10 to 50 ms. */
     void tick(time_point now);
 
-    /** Stops to be ready for the balancer; goes on serving what comes. */
+    /** Reports the gateway as not ready to load balancers from now on. Requests that still arrive
+        are served. */
     void startDraining(time_point now);
 
-    /** @return whether the balancer may send callers here */
+    /** @return whether load balancers may send requests here */
     bool isReady(time_point now) const;
 
-    /** @return whether a leader has been heard of late, with or without a configuration */
+    /** @return whether the last lease that a leader granted is still current, even if the cell has
+        no configuration yet */
     bool hasLeaderContact(time_point now) const;
 
-    struct parts; // for the routes, see gateway_parts.h
+    struct shared_state; // for the request handlers, see gateway_state.h
 
 private:
-    std::unique_ptr<parts> self;
+    std::unique_ptr<shared_state> state;
 };
 
 } // namespace filbert
--- a/modules/filbert_gateway/gateway_metrics.cpp
+++ b/modules/filbert_gateway/gateway_metrics.cpp
@@ -41,12 +41,13 @@
 {
 }
 
-void gateway_metrics::countRequest(const std::string &service, error_kind kind, milliseconds took)
+void gateway_metrics::countRequest(const std::string &service, error_kind kind,
+                                   milliseconds duration)
 {
     requests.Add({{"service", service}, {"result", std::string {errorInfo(kind).name}}})
         .Increment();
     latencies.Add({{"service", service}}, secondsBuckets)
-        .Observe(static_cast<double>(took.count) * secondsPerMillisecond);
+        .Observe(static_cast<double>(duration.count) * secondsPerMillisecond);
 }
 
 std::string gateway_metrics::text() const
--- a/modules/filbert_gateway/gateway_metrics.h
+++ b/modules/filbert_gateway/gateway_metrics.h
@@ -12,20 +12,25 @@
 
 namespace filbert {
 
-/** What a gateway counts. */
+/** The Prometheus metrics of a gateway. */
 class gateway_metrics
 {
 public:
     gateway_metrics();
 
-    /** Counts an answered request. @param kind how it ended @param took in milliseconds */
-    void countRequest(const std::string &service, error_kind kind, milliseconds took);
+    /** Counts a request that has been answered.
 
-    /** Counts a retry of an idempotent request. */
+        @param service   name of the service
+        @param kind      the outcome; None if the caller got the service's answer
+        @param duration  from the complete request to its answer
+    */
+    void countRequest(const std::string &service, error_kind kind, milliseconds duration);
+
+    /** Counts a request that is sent to another target after a failed attempt. */
     void countRetry() { retries.Increment(); }
 
-    /** Counts a connection to a target that brought no answer though the target had ended the work.
-     */
+    /** Counts a connection to a target that delivered no answer although the target's heartbeats
+        showed that the work had ended. */
     void countUnresponsiveConnection() { unresponsiveConnections.Increment(); }
 
     void setConfigurationVersion(std::int64_t version)
@@ -33,7 +38,7 @@
         configurationVersion.Set(static_cast<double>(version));
     }
 
-    /** @return everything in Prometheus' text format */
+    /** @return all metrics in the Prometheus text format */
     std::string text() const;
 
 private:
--- a/modules/filbert_gateway/job_routes.h
+++ b/modules/filbert_gateway/job_routes.h
@@ -6,12 +6,12 @@
 
 namespace filbert {
 
-/** Routes of submitters; the name is the job's number where one is in the path. */
-void submitJob(gateway::parts &parts, http_request &&request, const std::string &name);
-void listJobs(gateway::parts &parts, http_request &&request, const std::string &name);
-void showJob(gateway::parts &parts, http_request &&request, const std::string &name);
-void cancelJob(gateway::parts &parts, http_request &&request, const std::string &name);
-void holdJob(gateway::parts &parts, http_request &&request, const std::string &name);
-void releaseJob(gateway::parts &parts, http_request &&request, const std::string &name);
+/** Request handlers for job submitters. The name is the job's id if the path contains one. */
+void submitJob(gateway::shared_state &state, http_request &&request, const std::string &name);
+void listJobs(gateway::shared_state &state, http_request &&request, const std::string &name);
+void showJob(gateway::shared_state &state, http_request &&request, const std::string &name);
+void cancelJob(gateway::shared_state &state, http_request &&request, const std::string &name);
+void holdJob(gateway::shared_state &state, http_request &&request, const std::string &name);
+void releaseJob(gateway::shared_state &state, http_request &&request, const std::string &name);
 
 } // namespace filbert
--- a/modules/filbert_gateway/operator_routes.h
+++ b/modules/filbert_gateway/operator_routes.h
@@ -6,12 +6,15 @@
 
 namespace filbert {
 
-/** Routes of operators. */
-void applyConfiguration(gateway::parts &parts, http_request &&request, const std::string &name);
-void showConfiguration(gateway::parts &parts, http_request &&request, const std::string &name);
-void showStatus(gateway::parts &parts, http_request &&request, const std::string &name);
-void showAudit(gateway::parts &parts, http_request &&request, const std::string &name);
-void showMembers(gateway::parts &parts, http_request &&request, const std::string &name);
-void changeMember(gateway::parts &parts, http_request &&request, const std::string &name);
+/** Request handlers for operators. Each authenticates the operator and relays the request to the
+    leader; the name is not used. */
+void applyConfiguration(gateway::shared_state &state, http_request &&request,
+                        const std::string &name);
+void showConfiguration(gateway::shared_state &state, http_request &&request,
+                       const std::string &name);
+void showStatus(gateway::shared_state &state, http_request &&request, const std::string &name);
+void showAudit(gateway::shared_state &state, http_request &&request, const std::string &name);
+void showMembers(gateway::shared_state &state, http_request &&request, const std::string &name);
+void changeMember(gateway::shared_state &state, http_request &&request, const std::string &name);
 
 } // namespace filbert
--- a/modules/filbert_gateway/service_calls.h
+++ b/modules/filbert_gateway/service_calls.h
@@ -6,21 +6,32 @@
 
 namespace filbert {
 
-/** A caller's synchronous request to a service. @param name of the service */
-void callService(gateway::parts &parts, http_request &&request, const std::string &name);
+/** Handles a caller's synchronous request to a service: obtains a placement from the leader, calls
+    the target, and answers the caller.
 
-/** Tells the leader that a placement certainly did not start.
+    @param state    of the gateway
+    @param request  the caller's request
+    @param name     of the service
+*/
+void callService(gateway::shared_state &state, http_request &&request, const std::string &name);
+
+/** Reports to the leader that a placement certainly did not start.
 
-    @param reason             in words, for the job's owner
-    @param unreachableTarget  its target, if the request could not be brought there; else empty
+    @param state              of the gateway
+    @param placement          id of the placement
+    @param reason             readable reason for the owner of the job
+    @param unreachableTarget  name of the target if no connection to it could be made, else empty
 */
-void reportNotRun(gateway::parts &parts, std::uint64_t placement, const std::string &reason,
+void reportNotRun(gateway::shared_state &state, std::uint64_t placement, const std::string &reason,
                   const std::string &unreachableTarget = {});
 
-/** Gives back a grant that came too late or twice; nothing was started under it. */
-void returnUnusedGrant(gateway::parts &parts, const messages::dispatch_reply &grant);
+/** Returns a grant that arrived too late or a second time, by reporting its placement as not run.
+    Nothing was started under it. */
+void returnUnusedGrant(gateway::shared_state &state, const messages::dispatch_reply &grant);
 
-/** The leader says that a target has no answer for a request, or gave it on a silent connection. */
-void handlePlacementNotice(gateway::parts &parts, const messages::placement_notice &notice);
+/** Handles the leader's notice that a pending request has ended at its target, as the target's
+    heartbeats show: it did not run, or its answer was lost on an unresponsive connection. Cancels
+    the call. */
+void handlePlacementNotice(gateway::shared_state &state, const messages::placement_notice &notice);
 
 } // namespace filbert
--- a/modules/filbert_gateway/socket_transport.h
+++ b/modules/filbert_gateway/socket_transport.h
@@ -8,16 +8,18 @@
 
 namespace filbert {
 
-/** Carries a gateway's messages to controllers over ZeroMQ, one connection to each. */
+/** Exchanges a gateway's messages with controllers over ZeroMQ, with one connection to each. */
 class socket_transport : public controller_transport
 {
 public:
     using handler = std::function<void(const std::string &address, const messages::envelope &)>;
 
-    /** @param loop       runs it; outlives it, as the context does
-        @param name       how controllers know this process
-        @param site       keys of the connections
-        @param onMessage  called for each message, with the address that it came from
+    /** @param loop       event loop that the connections run in; must outlive this object
+        @param context    ZeroMQ context; must outlive this object
+        @param name       identifies this process to controllers
+        @param site       CURVE keys of the connections
+        @param onMessage  called for each message, with the address of the controller that sent it;
+                          messages that cannot be parsed are ignored
     */
     socket_transport(event_loop &loop, zmq::context_t &context, const std::string &name,
                      const curve_site &site, handler onMessage);
--- a/modules/filbert_gateway/target_routes.cpp
+++ b/modules/filbert_gateway/target_routes.cpp
@@ -1,6 +1,6 @@
 #include "target_routes.h"
 
-#include "gateway_parts.h"
+#include "gateway_state.h"
 #include "service_calls.h"
 
 #include <utility>
@@ -9,21 +9,22 @@
 
 namespace {
 
-constexpr milliseconds orderPatience {4'000};
+constexpr milliseconds orderTimeout {4'000};
 constexpr int statusOk = 200;
 
-/** Checks the key and reads the body; answers by itself where that fails. */
-bool readFromTarget(gateway::parts &parts, const http_request &request,
-                    google::protobuf::Message *body)
+/** Authenticates a target's request and parses its body. @return false after answering with the
+    error */
+bool readTargetRequest(gateway::shared_state &state, const http_request &request,
+                       google::protobuf::Message *body)
 {
     key_owner owner;
-    if (const auto error = authenticate(parts, request, key_role::Target, &owner)) {
-        parts.answerProblem(request.id, errorKindOf(error), "");
+    if (const auto error = authenticate(state, request, key_role::Target, &owner)) {
+        state.answerProblem(request.id, errorKindOf(error), "");
         return false;
     }
     std::string detail;
     if (readJson(request.body, body, &detail)) {
-        parts.answerProblem(request.id, error_kind::Malformed, detail);
+        state.answerProblem(request.id, error_kind::Malformed, detail);
         return false;
     }
     return true;
@@ -31,36 +32,38 @@
 
 } // namespace
 
-void handleAnnouncement(gateway::parts &parts, http_request &&request, const std::string &name)
+void handleAnnouncement(gateway::shared_state &state, http_request &&request,
+                        const std::string &name)
 {
     messages::envelope envelope;
-    if (!readFromTarget(parts, request, envelope.mutable_announce())) {
+    if (!readTargetRequest(state, request, envelope.mutable_announce())) {
         return;
     }
     envelope.mutable_announce()->set_name(name);
     static const messages::target_registration accepted;
-    parts.relay(request.id, std::move(envelope), statusOk, resend_rule::WhenUnanswered,
+    state.relay(request.id, std::move(envelope), statusOk, resend_rule::WhenUnanswered,
                 [](const messages::envelope &answer) -> const google::protobuf::Message * {
                     return answer.done() ? &accepted : nullptr;
                 });
 }
 
-void handleTargetHeartbeat(gateway::parts &parts, http_request &&request, const std::string &name)
+void handleTargetHeartbeat(gateway::shared_state &state, http_request &&request,
+                           const std::string &name)
 {
     messages::envelope envelope;
-    if (!readFromTarget(parts, request, envelope.mutable_heartbeat())) {
+    if (!readTargetRequest(state, request, envelope.mutable_heartbeat())) {
         return;
     }
     envelope.mutable_heartbeat()->set_name(name);
-    parts.relay(request.id, std::move(envelope), statusOk, resend_rule::WhenUnanswered,
+    state.relay(request.id, std::move(envelope), statusOk, resend_rule::WhenUnanswered,
                 [](const messages::envelope &answer) -> const google::protobuf::Message * {
                     return answer.has_heartbeat_reply() ? &answer.heartbeat_reply() : nullptr;
                 });
 }
 
-void relayStartOrder(gateway::parts &parts, const messages::start_order &order)
+void relayStartOrder(gateway::shared_state &state, const messages::start_order &order)
 {
-    if (!parts.isFirstUse(order.placement_id())) {
+    if (!state.isFirstUse(order.placement_id())) {
         return;
     }
     target_call call;
@@ -68,28 +71,28 @@
     call.path = "/v1/tasks";
     call.headers = {{"content-type", "application/json"}};
     call.body = writeJson(order);
-    call.timeout = orderPatience;
-    parts.targets.call(
+    call.timeout = orderTimeout;
+    state.targets.call(
         std::move(call),
-        [&parts, id = order.placement_id()](std::error_code error, http_response &&answer) {
+        [&state, id = order.placement_id()](std::error_code error, http_response &&answer) {
             const bool isNotRun = error == error_kind::ConnectionFailed
                 || (!error && answer.status == refusedByTarget);
             if (!isNotRun) {
-                return; // started, or its heartbeats will tell
+                return; // it started, or the target's heartbeats will show the outcome
             }
-            reportNotRun(parts, id, error ? "no connection" : "the target refused");
+            reportNotRun(state, id, error ? "no connection" : "the target refused");
         });
 }
 
-void relayStopOrder(gateway::parts &parts, const messages::stop_order &order)
+void relayStopOrder(gateway::shared_state &state, const messages::stop_order &order)
 {
     target_call call;
     call.address = order.address();
     call.path = "/v1/tasks/stop";
     call.headers = {{"content-type", "application/json"}};
     call.body = writeJson(order);
-    call.timeout = orderPatience;
-    parts.targets.call(std::move(call), [](std::error_code, http_response &&) {});
+    call.timeout = orderTimeout;
+    state.targets.call(std::move(call), [](std::error_code, http_response &&) {});
 }
 
 } // namespace filbert
--- a/modules/filbert_gateway/tests/gateway_test.cpp
+++ b/modules/filbert_gateway/tests/gateway_test.cpp
@@ -8,32 +8,33 @@
 
 namespace {
 
-messages::configuration smallConfiguration(const generated_key &desk)
+messages::configuration smallConfiguration(const generated_key &teamKey)
 {
-    messages::configuration whole;
-    whole.set_cell("c");
-    auto *team = whole.add_teams();
+    messages::configuration configuration;
+    configuration.set_cell("c");
+    auto *team = configuration.add_teams();
     team->set_name("orders");
     team->set_share(1);
-    *team->add_keys() = desk.storedKey;
-    whole.add_queues()->set_name("quotes");
+    *team->add_keys() = teamKey.storedKey;
+    configuration.add_queues()->set_name("quotes");
     for (const bool isIdempotent : {true, false}) {
-        auto *service = whole.add_services();
+        auto *service = configuration.add_services();
         service->set_name(isIdempotent ? "quote" : "die");
         service->set_queue("quotes");
         service->set_idempotent(isIdempotent);
     }
-    return whole;
+    return configuration;
 }
 
-messages::configuration_grant grantOf(const messages::configuration &whole, std::int64_t version)
+messages::configuration_grant grantOf(const messages::configuration &configuration,
+                                      std::int64_t version)
 {
-    const auto parts = itemsOf(whole);
+    const auto items = itemsOf(configuration);
     messages::configuration_grant grant;
     grant.set_version(version);
-    grant.set_digest(digestOfItems(parts));
+    grant.set_digest(digestOfItems(items));
     grant.set_lease_ms(3'000);
-    for (const auto &[key, value] : parts) {
+    for (const auto &[key, value] : items) {
         auto *item = grant.add_items();
         item->set_key(key);
         item->set_value(value);
@@ -41,19 +42,19 @@
     return grant;
 }
 
-/** One gateway between a controller, a target and a caller that the test plays. */
-class lone_gateway : public controller_transport, public caller_port, public target_port
+/** A gateway whose controller, target and caller are simulated by the test. */
+class gateway_fixture : public controller_transport, public caller_port, public target_port
 {
 public:
-    lone_gateway()
+    gateway_fixture()
         : links {"g1", {"tcp://c1"}, *this}
-        , running {gateway_settings {}, links, *this, *this, metrics}
+        , testedGateway {gateway_settings {}, links, *this, *this, metrics}
     {
-        running.tick(now);
+        testedGateway.tick(now);
     }
 
     void connect(const std::string & /*address*/) override { }
-    void reconnect(const std::string & /*address*/) override { ++renewals; }
+    void reconnect(const std::string & /*address*/) override { ++reconnects; }
 
     bool send(const std::string & /*address*/, const messages::envelope &envelope) override
     {
@@ -75,7 +76,7 @@
     void cancel(std::uint64_t id) override { cancelled.push_back(id); }
     void setGateways(int /*gateways*/) override { }
 
-    /** Answers the oldest message to the controller. */
+    /** Answers the oldest message to the controller that has not been answered. */
     void answer(messages::envelope envelope)
     {
         envelope.set_exchange(toController.front().exchange());
@@ -83,14 +84,14 @@
         links.handleAnswer("tcp://c1", envelope, now);
     }
 
-    void grant(const messages::configuration_grant &granted)
+    void answerGrant(const messages::configuration_grant &grant)
     {
         messages::envelope envelope;
-        *envelope.mutable_grant() = granted;
+        *envelope.mutable_grant() = grant;
         answer(std::move(envelope));
     }
 
-    void dispatched(std::uint64_t placement)
+    void answerDispatched(std::uint64_t placement)
     {
         messages::envelope envelope;
         envelope.mutable_dispatched()->set_placement_id(placement);
@@ -98,23 +99,23 @@
         answer(std::move(envelope));
     }
 
-    void request(const std::string &service)
+    void sendRequest(const std::string &service)
     {
         http_request request;
         request.id = ++lastRequest;
         request.method = "POST";
         request.path = "/v1/services/" + service;
-        request.authorization = "Bearer " + desk.token;
-        running.handleRequest(std::move(request), now);
+        request.authorization = "Bearer " + teamKey.token;
+        testedGateway.handleRequest(std::move(request), now);
     }
 
-    void pass(std::int64_t ms)
+    void advance(std::int64_t ms)
     {
         now = now + milliseconds {ms};
-        running.tick(now);
+        testedGateway.tick(now);
     }
 
-    void targetAnswers(std::error_code error, int status = 200, std::uint64_t placement = 1)
+    void answerCall(std::error_code error, int status = 200, std::uint64_t placement = 1)
     {
         http_response answer;
         answer.status = status;
@@ -133,214 +134,218 @@
         return problem.kind() + " " + problem.outcome();
     }
 
-    generated_key desk = generateKey("desk");
+    generated_key teamKey = generateKey("desk");
     gateway_metrics metrics;
     std::deque<messages::envelope> toController;
     std::deque<target_call> calls;
     std::deque<handler> onAnswers;
     std::vector<std::uint64_t> cancelled;
-    int renewals = 0;
+    int reconnects = 0;
     std::vector<http_response> answers;
     controller_links links;
     time_point now {1'000};
     std::uint64_t lastRequest = 0;
-    gateway running;
+    gateway testedGateway;
 };
 
 } // namespace
 
-TEST_CASE("a gateway takes work under its configuration lease only, and counts it from the hello")
+TEST_CASE(
+    "a gateway accepts work only under a configuration lease, which starts when the hello is sent")
 {
-    lone_gateway cell;
-    cell.request("quote");
-    CHECK(cell.lastProblem() == "not_in_force not_run");
-    cell.now = cell.now + milliseconds {700}; // the answer to its hello was slow
-    cell.grant(grantOf(smallConfiguration(cell.desk), 1));
-    CHECK(cell.running.isReady(cell.now));
-    cell.request("quote");
-    CHECK(cell.toController.back().has_dispatch());
-    cell.pass(2'299);
-    CHECK(cell.running.isReady(cell.now));
-    cell.pass(1);
-    CHECK_FALSE(cell.running.isReady(cell.now));
-    const auto before = cell.toController.size();
-    cell.request("quote");
-    CHECK(cell.lastProblem() == "not_in_force not_run");
-    CHECK(cell.toController.size() == before);
+    gateway_fixture fixture;
+    fixture.sendRequest("quote");
+    CHECK(fixture.lastProblem() == "not_in_force not_run");
+    fixture.now = fixture.now + milliseconds {700}; // the answer to its hello is delayed
+    fixture.answerGrant(grantOf(smallConfiguration(fixture.teamKey), 1));
+    CHECK(fixture.testedGateway.isReady(fixture.now));
+    fixture.sendRequest("quote");
+    CHECK(fixture.toController.back().has_dispatch());
+    fixture.advance(2'299);
+    CHECK(fixture.testedGateway.isReady(fixture.now));
+    fixture.advance(1);
+    CHECK_FALSE(fixture.testedGateway.isReady(fixture.now));
+    const auto messageCount = fixture.toController.size();
+    fixture.sendRequest("quote");
+    CHECK(fixture.lastProblem() == "not_in_force not_run");
+    CHECK(fixture.toController.size() == messageCount);
 }
 
-TEST_CASE("a configuration lease takes deltas on its own version, and versions never fall")
+TEST_CASE(
+    "a configuration lease applies only deltas on its own version, and versions never decrease")
 {
     const auto key = generateKey("desk");
     configuration_lease lease;
     REQUIRE(applyGrant(lease, grantOf(smallConfiguration(key), 5), {0}));
     CHECK_FALSE(applyGrant(lease, grantOf(smallConfiguration(key), 4), {10}));
-    auto next = smallConfiguration(key);
-    next.mutable_teams(0)->set_share(4);
-    auto delta = grantOf(next, 7);
+    auto changed = smallConfiguration(key);
+    changed.mutable_teams(0)->set_share(4);
+    auto delta = grantOf(changed, 7);
     delta.clear_items();
-    for (const auto &item : changesBetween(itemsOf(smallConfiguration(key)), itemsOf(next))) {
+    for (const auto &item : changesBetween(itemsOf(smallConfiguration(key)), itemsOf(changed))) {
         *delta.add_items() = item;
     }
     delta.set_from_version(6);
-    CHECK_FALSE(applyGrant(lease, delta, {20})); // it holds version 5
+    CHECK_FALSE(applyGrant(lease, delta, {20})); // a delta on version 6, while 5 is held
     delta.set_from_version(5);
     CHECK(applyGrant(lease, delta, {20}));
     CHECK(lease.configuration.version() == 7);
-    auto wrong = delta;
-    wrong.set_from_version(7);
-    wrong.set_version(8);
-    wrong.set_digest("another");
-    CHECK_FALSE(applyGrant(lease, wrong, {30}));
-    CHECK_FALSE(isInForce(lease, {31})); // it asks for the whole before it serves again
+    auto wrongDigest = delta;
+    wrongDigest.set_from_version(7);
+    wrongDigest.set_version(8);
+    wrongDigest.set_digest("another");
+    CHECK_FALSE(applyGrant(lease, wrongDigest, {30}));
+    CHECK_FALSE(isInForce(lease, {31})); // it needs a full copy before it serves again
 }
 
-TEST_CASE("what may have run is tried again only where that does no harm")
+TEST_CASE("a request that may have run is retried only if its service is idempotent")
 {
-    lone_gateway cell;
-    cell.grant(grantOf(smallConfiguration(cell.desk), 1));
-
-    cell.request("die");
-    cell.dispatched(1);
-    cell.targetAnswers(error_kind::TargetLost);
-    CHECK(cell.lastProblem() == "target_lost may_have_run");
-    CHECK(cell.toController.empty());
-
-    cell.request("die");
-    cell.dispatched(2);
-    cell.targetAnswers(error_kind::ConnectionFailed); // not a byte left, so it did not run
-    cell.pass(10);
-    REQUIRE(cell.toController.size() == 2);
-    CHECK(cell.toController[0].end().result() == messages::NOT_RUN);
-    CHECK(cell.toController[1].dispatch().avoid(0) == "t2");
-    cell.toController.clear();
-
-    cell.request("quote");
-    cell.dispatched(3);
-    cell.targetAnswers(error_kind::TargetLost);
-    REQUIRE(cell.toController.size() == 1);
-    CHECK(cell.toController[0].dispatch().avoid(0) == "t3");
-    CHECK(cell.toController[0].dispatch().avoid(1) == "t2"); // could not be reached just now
-    cell.dispatched(4);
-    cell.targetAnswers({}, 200, 3); // the answer to another placement
-    REQUIRE(cell.toController.size() == 1);
-    cell.dispatched(5);
-    cell.targetAnswers({}, 200, 5);
-    CHECK(cell.answers.back().status == 200);
-    CHECK(cell.answers.back().body == "done");
+    gateway_fixture fixture;
+    fixture.answerGrant(grantOf(smallConfiguration(fixture.teamKey), 1));
+
+    fixture.sendRequest("die");
+    fixture.answerDispatched(1);
+    fixture.answerCall(error_kind::TargetLost);
+    CHECK(fixture.lastProblem() == "target_lost may_have_run");
+    CHECK(fixture.toController.empty());
+
+    fixture.sendRequest("die");
+    fixture.answerDispatched(2);
+    fixture.answerCall(error_kind::ConnectionFailed); // not a byte was sent, so it did not run
+    fixture.advance(10);
+    REQUIRE(fixture.toController.size() == 2);
+    CHECK(fixture.toController[0].end().result() == messages::NOT_RUN);
+    CHECK(fixture.toController[1].dispatch().avoid(0) == "t2");
+    fixture.toController.clear();
+
+    fixture.sendRequest("quote");
+    fixture.answerDispatched(3);
+    fixture.answerCall(error_kind::TargetLost);
+    REQUIRE(fixture.toController.size() == 1);
+    CHECK(fixture.toController[0].dispatch().avoid(0) == "t3");
+    CHECK(fixture.toController[0].dispatch().avoid(1) == "t2"); // it was unreachable a moment ago
+    fixture.answerDispatched(4);
+    fixture.answerCall({}, 200, 3); // the answer names another placement
+    REQUIRE(fixture.toController.size() == 1);
+    fixture.answerDispatched(5);
+    fixture.answerCall({}, 200, 5);
+    CHECK(fixture.answers.back().status == 200);
+    CHECK(fixture.answers.back().body == "done");
 }
 
-TEST_CASE("a grant that comes too late or twice is given back and used once")
+TEST_CASE("a grant that arrives late or twice is returned, and each placement is used at most once")
 {
-    lone_gateway cell;
-    cell.grant(grantOf(smallConfiguration(cell.desk), 1));
-    cell.request("quote");
-    const auto copy = cell.toController.front();
-    cell.dispatched(1);
-    CHECK(cell.calls.size() == 1);
+    gateway_fixture fixture;
+    fixture.answerGrant(grantOf(smallConfiguration(fixture.teamKey), 1));
+    fixture.sendRequest("quote");
+    const auto firstRequest = fixture.toController.front();
+    fixture.answerDispatched(1);
+    CHECK(fixture.calls.size() == 1);
     messages::envelope late;
-    late.set_exchange(copy.exchange());
+    late.set_exchange(firstRequest.exchange());
     late.mutable_dispatched()->set_placement_id(2);
-    CHECK_FALSE(cell.links.handleAnswer("tcp://c1", late, cell.now));
-    cell.running.handleOrder(late, cell.now);
-    REQUIRE(cell.toController.size() == 1);
-    CHECK(cell.toController[0].end().placement_id() == 2);
-    CHECK(cell.toController[0].end().result() == messages::NOT_RUN);
-    cell.running.handleOrder(late, cell.now);
+    CHECK_FALSE(fixture.links.handleAnswer("tcp://c1", late, fixture.now));
+    fixture.testedGateway.handleOrder(late, fixture.now);
+    REQUIRE(fixture.toController.size() == 1);
+    CHECK(fixture.toController[0].end().placement_id() == 2);
+    CHECK(fixture.toController[0].end().result() == messages::NOT_RUN);
+    fixture.testedGateway.handleOrder(late, fixture.now);
     late.mutable_dispatched()->set_placement_id(1);
-    cell.running.handleOrder(late, cell.now);
-    CHECK(cell.toController.size() == 1);
-    CHECK(cell.calls.size() == 1);
+    fixture.testedGateway.handleOrder(late, fixture.now);
+    CHECK(fixture.toController.size() == 1);
+    CHECK(fixture.calls.size() == 1);
 }
 
 TEST_CASE(
-    "a request on a silent connection goes elsewhere once its target's heartbeats show its end")
+    "a call on an unresponsive connection is cancelled once the target's heartbeats show its end")
 {
-    lone_gateway cell;
-    cell.grant(grantOf(smallConfiguration(cell.desk), 1));
+    gateway_fixture fixture;
+    fixture.answerGrant(grantOf(smallConfiguration(fixture.teamKey), 1));
     const auto notice = [&](std::uint64_t placement, messages::task_result result) {
         messages::envelope envelope;
         envelope.mutable_notice()->set_placement_id(placement);
         envelope.mutable_notice()->set_result(result);
-        cell.running.handleOrder(envelope, cell.now);
+        fixture.testedGateway.handleOrder(envelope, fixture.now);
     };
-    notice(9, messages::NOT_RUN); // another gateway's
-    CHECK(cell.cancelled.empty());
+    notice(9, messages::NOT_RUN); // a placement of another gateway
+    CHECK(fixture.cancelled.empty());
 
-    cell.request("die"); // not idempotent, but it certainly did not run
-    cell.dispatched(1);
+    fixture.sendRequest("die"); // not idempotent, but it certainly did not run
+    fixture.answerDispatched(1);
     notice(1, messages::NOT_RUN);
-    CHECK(cell.cancelled == std::vector<std::uint64_t> {1});
-    cell.targetAnswers(error_kind::TargetLost);
-    cell.pass(10);
-    REQUIRE_FALSE(cell.toController.empty());
-    CHECK(cell.toController.back().dispatch().avoid(0) == "t1");
-    CHECK(cell.toController.front().end().unreachable_target() == "t1"); // evidence against it
-    cell.toController.clear();
-
-    cell.request("die"); // it ran, and only its answer is lost
-    cell.dispatched(2);
+    CHECK(fixture.cancelled == std::vector<std::uint64_t> {1});
+    fixture.answerCall(error_kind::TargetLost);
+    fixture.advance(10);
+    REQUIRE_FALSE(fixture.toController.empty());
+    CHECK(fixture.toController.back().dispatch().avoid(0) == "t1");
+    // The report names the target, so that the failure counts against it.
+    CHECK(fixture.toController.front().end().unreachable_target() == "t1");
+    fixture.toController.clear();
+
+    fixture.sendRequest("die"); // it ran, but its answer is lost
+    fixture.answerDispatched(2);
     notice(2, messages::UNKNOWN);
-    cell.targetAnswers(error_kind::TargetLost);
-    CHECK(cell.lastProblem() == "target_lost may_have_run");
-    CHECK(cell.toController.empty());
+    fixture.answerCall(error_kind::TargetLost);
+    CHECK(fixture.lastProblem() == "target_lost may_have_run");
+    CHECK(fixture.toController.empty());
 }
 
-TEST_CASE("a refusal says not run only if that is true of every try")
+TEST_CASE("a problem reports not_run only if no attempt may have run")
 {
-    lone_gateway cell;
-    cell.grant(grantOf(smallConfiguration(cell.desk), 1));
-    cell.request("quote");
-    cell.dispatched(1);
-    cell.targetAnswers(error_kind::TargetLost);
-    messages::envelope full;
-    full.mutable_refused()->set_kind(static_cast<int>(error_kind::NoCapacity));
-    cell.answer(full);
-    CHECK(cell.lastProblem() == "target_lost may_have_run");
-
-    cell.request("quote");
-    cell.answer(full);
-    CHECK(cell.lastProblem() == "no_capacity not_run");
+    gateway_fixture fixture;
+    fixture.answerGrant(grantOf(smallConfiguration(fixture.teamKey), 1));
+    fixture.sendRequest("quote");
+    fixture.answerDispatched(1);
+    fixture.answerCall(error_kind::TargetLost);
+    messages::envelope noCapacity;
+    noCapacity.mutable_refused()->set_kind(static_cast<int>(error_kind::NoCapacity));
+    fixture.answer(noCapacity);
+    CHECK(fixture.lastProblem() == "target_lost may_have_run");
+
+    fixture.sendRequest("quote");
+    fixture.answer(noCapacity);
+    CHECK(fixture.lastProblem() == "no_capacity not_run");
 }
 
-TEST_CASE("connections to controllers are renewed when the leader is silent")
+TEST_CASE("connections to controllers are replaced when the leader does not answer")
 {
-    lone_gateway cell;
-    cell.pass(400);
-    CHECK(cell.renewals == 0);
-    cell.pass(200);
-    CHECK(cell.renewals == 1);
+    gateway_fixture fixture;
+    fixture.advance(400);
+    CHECK(fixture.reconnects == 0);
+    fixture.advance(200);
+    CHECK(fixture.reconnects == 1);
 }
 
-TEST_CASE("refusals of targets are tried again within bounds, with growing pauses")
+TEST_CASE("refusals by targets are retried a limited number of times, with increasing pauses")
 {
-    lone_gateway cell;
-    cell.grant(grantOf(smallConfiguration(cell.desk), 1));
+    gateway_fixture fixture;
+    fixture.answerGrant(grantOf(smallConfiguration(fixture.teamKey), 1));
     constexpr int refusedByTarget = 412;
-    cell.request("die");
-    int tries = 0;
+    fixture.sendRequest("die");
+    int attempts = 0;
     std::vector<std::int64_t> pauses;
-    while (cell.answers.empty()) {
-        ++tries;
-        REQUIRE(tries <= 10);
-        while (!cell.toController.front().has_dispatch()) {
-            cell.toController.pop_front(); // ends and hellos
+    while (fixture.answers.empty()) {
+        ++attempts;
+        REQUIRE(attempts <= 10);
+        while (!fixture.toController.front().has_dispatch()) {
+            fixture.toController.pop_front(); // reports of placement ends, and hellos
         }
-        CHECK(cell.toController.front().dispatch().avoid_size() <= 2); // those that refused last
-        cell.dispatched(static_cast<std::uint64_t>(tries));
-        cell.targetAnswers({}, refusedByTarget, static_cast<std::uint64_t>(tries));
-        const auto isAsked = [&] {
-            return std::any_of(cell.toController.begin(), cell.toController.end(),
+        // Only the two targets that refused last are excluded.
+        CHECK(fixture.toController.front().dispatch().avoid_size() <= 2);
+        fixture.answerDispatched(static_cast<std::uint64_t>(attempts));
+        fixture.answerCall({}, refusedByTarget, static_cast<std::uint64_t>(attempts));
+        const auto hasDispatchRequest = [&] {
+            return std::any_of(fixture.toController.begin(), fixture.toController.end(),
                                [](const auto &each) { return each.has_dispatch(); });
         };
         pauses.push_back(0);
-        for (; cell.answers.empty() && !isAsked(); pauses.back() += 5) {
-            cell.pass(5);
+        for (; fixture.answers.empty() && !hasDispatchRequest(); pauses.back() += 5) {
+            fixture.advance(5);
         }
     }
-    pauses.pop_back(); // the last refusal was the answer
+    pauses.pop_back(); // after the last refusal the caller was answered
     CHECK(pauses.front() <= 15);
     CHECK(pauses.back() >= 320);
-    CHECK(tries == 10);
-    CHECK(cell.lastProblem() == "target_refused not_run");
+    CHECK(attempts == 10);
+    CHECK(fixture.lastProblem() == "target_refused not_run");
 }
