--- a/modules/filbert_transport/certificates.cpp
+++ b/modules/filbert_transport/certificates.cpp
@@ -15,16 +15,16 @@
 namespace {
 
 constexpr long secondsPerDay = 24L * 3'600;
-constexpr long authorityDays = 3'650;
-constexpr long hostDays = 397;
+constexpr long authorityValidityDays = 3'650;
+constexpr long hostValidityDays = 397;
 constexpr int serialBits = 64;
-constexpr long version3 = 2;
+constexpr long x509Version3 = 2;
 
 using key_ptr = std::unique_ptr<EVP_PKEY, decltype(&EVP_PKEY_free)>;
 using certificate_ptr = std::unique_ptr<X509, decltype(&X509_free)>;
 using file_ptr = std::unique_ptr<FILE, decltype(&std::fclose)>;
 
-/** A key with its certificate. */
+/** A private key with its certificate. */
 struct identity
 {
     key_ptr key {nullptr, EVP_PKEY_free};
@@ -36,7 +36,7 @@
     return {std::fopen(path.c_str(), mode), std::fclose};
 }
 
-bool writeKey(const std::string &path, EVP_PKEY *key)
+bool writePrivateKey(const std::string &path, EVP_PKEY *key)
 {
     {
         const auto file = openFile(path, "w");
@@ -73,45 +73,45 @@
     return isAdded;
 }
 
-/** A new key and a certificate for it that is not signed yet. */
-identity makeUnsigned(const std::string &name, long days)
+/** Creates a private key and an unsigned certificate for it. */
+identity createUnsigned(const std::string &name, long days)
 {
-    identity made;
-    made.key.reset(EVP_EC_gen("P-256"));
-    made.certificate.reset(X509_new());
-    auto *certificate = made.certificate.get();
-    X509_set_version(certificate, version3);
+    identity created;
+    created.key.reset(EVP_EC_gen("P-256"));
+    created.certificate.reset(X509_new());
+    auto *certificate = created.certificate.get();
+    X509_set_version(certificate, x509Version3);
     BIGNUM *serial = BN_new();
     BN_rand(serial, serialBits, BN_RAND_TOP_ANY, BN_RAND_BOTTOM_ANY);
     BN_to_ASN1_INTEGER(serial, X509_get_serialNumber(certificate));
     BN_free(serial);
     X509_gmtime_adj(X509_getm_notBefore(certificate), -secondsPerDay);
     X509_gmtime_adj(X509_getm_notAfter(certificate), days * secondsPerDay);
-    X509_set_pubkey(certificate, made.key.get());
+    X509_set_pubkey(certificate, created.key.get());
     X509_NAME_add_entry_by_txt(X509_get_subject_name(certificate), "CN", MBSTRING_UTF8,
                                reinterpret_cast<const unsigned char *>(name.c_str()), -1, -1, 0);
-    return made;
+    return created;
 }
 
-bool sign(X509 *certificate, const identity &authority)
+bool signCertificate(X509 *certificate, const identity &authority)
 {
     X509_set_issuer_name(certificate, X509_get_subject_name(authority.certificate.get()));
     return X509_sign(certificate, authority.key.get(), EVP_sha256()) > 0;
 }
 
-std::error_code makeAuthority(const std::string &path, identity *authority)
+std::error_code createAuthority(const std::string &path, identity *authority)
 {
-    *authority = makeUnsigned("filbertramp site authority", authorityDays);
+    *authority = createUnsigned("filbertramp site authority", authorityValidityDays);
     auto *certificate = authority->certificate.get();
-    const bool isMade =
+    const bool isCreated =
         addExtension(certificate, certificate, NID_basic_constraints, "critical,CA:TRUE")
         && addExtension(certificate, certificate, NID_key_usage, "critical,keyCertSign,cRLSign")
         && addExtension(certificate, certificate, NID_subject_key_identifier, "hash")
-        && sign(certificate, *authority);
-    if (!isMade) {
+        && signCertificate(certificate, *authority);
+    if (!isCreated) {
         return error_kind::Internal;
     }
-    const bool isWritten = writeKey(path + ".key", authority->key.get())
+    const bool isWritten = writePrivateKey(path + ".key", authority->key.get())
         && writeCertificate(path + ".pem", certificate);
     return isWritten ? std::error_code {} : error_kind::StorageFailed;
 }
@@ -129,24 +129,24 @@
                                                     : error_kind::StorageFailed;
 }
 
-std::error_code makeHostCertificate(const std::string &folder, const host_certificate &host,
-                                    const identity &authority)
+std::error_code createHostCertificate(const std::string &folder, const host_certificate &host,
+                                      const identity &authority)
 {
-    const auto made = makeUnsigned(host.name, hostDays);
-    auto *certificate = made.certificate.get();
+    const auto created = createUnsigned(host.name, hostValidityDays);
+    auto *certificate = created.certificate.get();
     auto *issuer = authority.certificate.get();
-    const bool isMade =
+    const bool isCreated =
         addExtension(certificate, issuer, NID_subject_alt_name, "IP:" + host.address)
         && addExtension(certificate, issuer, NID_basic_constraints, "critical,CA:FALSE")
         && addExtension(certificate, issuer, NID_ext_key_usage, "serverAuth")
         && addExtension(certificate, issuer, NID_authority_key_identifier, "keyid")
-        && sign(certificate, authority);
-    if (!isMade) {
+        && signCertificate(certificate, authority);
+    if (!isCreated) {
         return error_kind::Internal;
     }
     const auto path = folder + "/" + host.name;
-    const bool isWritten =
-        writeKey(path + ".key", made.key.get()) && writeCertificate(path + ".pem", certificate);
+    const bool isWritten = writePrivateKey(path + ".key", created.key.get())
+        && writeCertificate(path + ".pem", certificate);
     return isWritten ? std::error_code {} : error_kind::StorageFailed;
 }
 
@@ -163,10 +163,10 @@
     const auto path = folder + "/authority";
     identity authority;
     error = std::filesystem::exists(path + ".key") ? readAuthority(path, &authority)
-                                                   : makeAuthority(path, &authority);
+                                                   : createAuthority(path, &authority);
     for (const auto &host : hosts) {
         if (!error) {
-            error = makeHostCertificate(folder, host, authority);
+            error = createHostCertificate(folder, host, authority);
         }
     }
     return error;
--- a/modules/filbert_transport/certificates.h
+++ b/modules/filbert_transport/certificates.h
@@ -6,23 +6,23 @@
 
 namespace filbert {
 
-/** One host's TLS files: certificate chain and private key, both PEM. */
+/** A host that a TLS certificate is issued to. */
 struct host_certificate
 {
-    std::string name; // of the host; names the files
-    std::string address; // IP that callers connect to
+    std::string name; // host name, also the base name of its files
+    std::string address; // IP address that callers connect to
 };
 
-/** Makes an authority and a certificate for each host, for sites that have no authority of their
-   own.
+/** Creates a certificate authority and issues a certificate to each host, for sites that have no
+    certificate authority of their own.
 
-    Writes authority.pem (to be trusted by callers), authority.key (to be kept away from hosts), and
-    NAME.pem and NAME.key for each host. An authority that is in the folder already is used again,
-   so that hosts can be added and certificates renewed.
+    Writes these PEM files: authority.pem (callers must trust it), authority.key (must not be copied
+    to the hosts), and NAME.pem and NAME.key for each host. An authority that the folder already
+    contains is reused, so that hosts can be added and certificates renewed.
 
-    @param folder  made if absent
-    @param hosts   whom to make certificates for
-    @return StorageFailed if a file cannot be read or written, Internal if the library refuses
+    @param folder  target folder, created if absent
+    @param hosts   the hosts to issue certificates to
+    @return StorageFailed if a file cannot be read or written, Internal if OpenSSL fails
 */
 std::error_code makeCertificates(const std::string &folder,
                                  const std::vector<host_certificate> &hosts);
--- a/modules/filbert_transport/event_loop.cpp
+++ b/modules/filbert_transport/event_loop.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr int wakeRoundsPerTurn = 16;
+constexpr int maxWakeRounds = 16;
 constexpr std::int64_t microsecondsPerMillisecond = 1'000;
 
-int watchDescriptor(lws *, lws_callback_reasons, void *, void *, std::size_t)
+int ignoreFileEvents(lws *, lws_callback_reasons, void *, void *, std::size_t)
 {
-    return 0; // readiness alone matters: the wake actions read the descriptor themselves
+    return 0; // the event only wakes the loop; the wake actions read the descriptor
 }
 
 const lws_protocols fileProtocols[] = {
-    {"filbert-file", watchDescriptor, 0, 0, 0, nullptr, 0},
+    {"filbert-file", ignoreFileEvents, 0, 0, 0, nullptr, 0},
     {nullptr, nullptr, 0, 0, 0, nullptr, 0},
 };
 
@@ -34,7 +34,7 @@
     info.pt_serv_buf_size = 16 * 1024;
     info.max_http_header_data = 8 * 1024;
     lwsContext = lws_create_context(&info);
-    FILBERT_INVARIANT(lwsContext != nullptr, "the HTTP library starts");
+    FILBERT_INVARIANT(lwsContext != nullptr, "libwebsockets creates its context");
     lws_context_creation_info files {};
     files.port = CONTEXT_PORT_NO_LISTEN;
     files.protocols = fileProtocols;
@@ -59,14 +59,14 @@
     while (!isStopping) {
         lws_service(lwsContext, hasMoreWork ? -1 : 0);
         hasMoreWork = runWakeActions();
-        removeSpentTimers();
+        removeExpiredTimers();
     }
 }
 
 bool event_loop::runWakeActions()
 {
-    for (int round = 0; round < wakeRoundsPerTurn; ++round) {
-        bool didWork = runPosted();
+    for (int round = 0; round < maxWakeRounds; ++round) {
+        bool didWork = runPostedActions();
         for (std::size_t i = 0; i < wakeActions.size(); ++i) {
             didWork = wakeActions[i]() || didWork;
         }
@@ -77,12 +77,12 @@
     return true;
 }
 
-bool event_loop::runPosted()
+bool event_loop::runPostedActions()
 {
-    if (posted.empty()) {
+    if (postedActions.empty()) {
         return false;
     }
-    const auto actions = std::exchange(posted, {});
+    const auto actions = std::exchange(postedActions, {});
     for (const auto &action : actions) {
         action();
     }
@@ -96,7 +96,7 @@
         lws_sul_schedule(self->loop->lwsContext, 0, &self->entry, onTimer,
                          self->period.count * microsecondsPerMillisecond);
     } else {
-        self->loop->hasSpentTimers = true;
+        self->loop->hasExpiredTimers = true;
     }
     const auto action = self->isRepeating ? self->action : std::move(self->action);
     if (!self->isRepeating) {
@@ -105,11 +105,11 @@
     action();
 }
 
-void event_loop::removeSpentTimers()
+void event_loop::removeExpiredTimers()
 {
-    if (hasSpentTimers) {
+    if (hasExpiredTimers) {
         std::erase_if(timers, [](const auto &entry) { return entry->action == nullptr; });
-        hasSpentTimers = false;
+        hasExpiredTimers = false;
     }
 }
 
@@ -143,7 +143,7 @@
 void event_loop::watchDescriptor(int descriptor)
 {
     lws_sock_file_fd_type watched {};
-    watched.filefd = dup(descriptor); // the library closes what it watches
+    watched.filefd = dup(descriptor); // the library closes the descriptor that it watches
     lws_adopt_descriptor_vhost(fileVhost, LWS_ADOPT_RAW_FILE_DESC, watched, "filbert-file",
                                nullptr);
 }
--- a/modules/filbert_transport/event_loop.h
+++ b/modules/filbert_transport/event_loop.h
@@ -10,10 +10,10 @@
 
 namespace filbert {
 
-/** The one loop of a program, on the thread that calls run().
+/** The event loop of a program. It runs on the thread that calls run().
 
-    Everything that waits goes through it: HTTP, ZeroMQ sockets, timers and signals.
-    @see http_server, http_client, message_socket
+    It dispatches all events of the program: HTTP, ZeroMQ sockets, timers and signals.
+    @see http_server, http_client, message_server, message_client
 */
 class event_loop
 {
@@ -23,41 +23,48 @@
     event_loop(const event_loop &) = delete;
     event_loop &operator=(const event_loop &) = delete;
 
-    /** Runs until stop(). */
+    /** Dispatches events until stop() is called. */
     void run();
 
-    /** Makes run() return after the present turn. */
+    /** Makes run() return after the current iteration. */
     void stop() { isStopping = true; }
 
-    /** Calls a function again and again; it lives as long as the loop.
+    /** Calls a function periodically, for as long as the loop exists.
 
-        @param period  from one call to the next, in milliseconds, at least 1
-        @param action  what to do
+        @param period  time between two calls, in milliseconds, at least 1
+        @param action  the function to call
     */
     void callEvery(milliseconds period, std::function<void()> action);
 
-    /** Calls a function once. @param delay in milliseconds @param action what to do */
+    /** Calls a function once.
+
+        @param delay   time until the call, in milliseconds
+        @param action  the function to call
+    */
     void callAfter(milliseconds delay, std::function<void()> action);
 
-    /** Calls a function once, later in this turn. @param action what to do */
-    void post(std::function<void()> action) { posted.push_back(std::move(action)); }
+    /** Calls a function once, later in the current iteration of the loop. */
+    void post(std::function<void()> action) { postedActions.push_back(std::move(action)); }
 
-    /** Calls a function after every wake of the loop, as often as it says that it did something.
+    /** Calls a function whenever the loop wakes, and repeats the call while it reports work.
 
         @param action  returns whether it did any work
     */
     void onWake(std::function<bool()> action);
 
-    /** Wakes the loop when a descriptor can be read; the descriptor stays the caller's.
+    /** Wakes the loop when a descriptor becomes readable. The caller keeps ownership of it.
 
-        @param descriptor  of a socket or signal; a duplicate of it is watched
+        @param descriptor  a socket or signal descriptor; the loop watches a duplicate of it
     */
     void watchDescriptor(int descriptor);
 
-    /** SIGTERM and SIGINT as a call on the loop. @param action the number of signals so far */
+    /** Handles SIGTERM and SIGINT on the loop.
+
+        @param action  called for each signal, with the number of signals received so far
+    */
     void onStopSignal(std::function<void(int)> action);
 
-    /** SIGHUP as a call on the loop; without it the signal ends the program. */
+    /** Handles SIGHUP on the loop. Without a handler the signal terminates the program. */
     void onReloadSignal(std::function<void()> action);
 
     lws_context *context() const { return lwsContext; }
@@ -65,7 +72,8 @@
 private:
     struct timer
     {
-        lws_sorted_usec_list_t entry {}; // first member: the library hands back its address
+        // Must be the first member: the library passes its address back.
+        lws_sorted_usec_list_t entry {};
         event_loop *loop = nullptr;
         milliseconds period;
         bool isRepeating = false;
@@ -76,16 +84,16 @@
     void onSignals(const std::vector<int> &numbers, std::function<void()> action);
     void addTimer(milliseconds period, bool isRepeating, std::function<void()> action);
     bool runWakeActions();
-    bool runPosted();
-    void removeSpentTimers();
+    bool runPostedActions();
+    void removeExpiredTimers();
 
     lws_context *lwsContext = nullptr;
     lws_vhost *fileVhost = nullptr;
     std::vector<std::unique_ptr<timer>> timers;
     std::vector<std::function<bool()>> wakeActions;
-    std::vector<std::function<void()>> posted;
+    std::vector<std::function<void()>> postedActions;
     bool isStopping = false;
-    bool hasSpentTimers = false;
+    bool hasExpiredTimers = false;
     std::vector<int> signalDescriptors;
 };
 
--- a/modules/filbert_transport/filbert_transport.h
+++ b/modules/filbert_transport/filbert_transport.h
@@ -1,8 +1,15 @@
 #pragma once
 
 /** @file
-    The one loop of a program and what waits on it: HTTP server and client, ZeroMQ sockets, timers,
-    signals. No decision of the product is made here.
+    Networking and event handling. An event loop, one per program, drives everything that waits:
+    an HTTP server and client (libwebsockets), message sockets (ZeroMQ), timers and signals.
+
+    Processes exchange messages through ZeroMQ sockets: a message_server (ROUTER) accepts
+    connections from many peers, and a message_client (DEALER) connects to one server. CURVE is
+    ZeroMQ's encryption; a curve_site holds the keys of a process and of its peers. HTTP connections
+    are encrypted with TLS; makeCertificates() issues the certificates for it.
+
+    This module holds no scheduling logic.
 
     Depends on: filbert_core, filbert_messages, libwebsockets, ZeroMQ.
 */
--- a/modules/filbert_transport/http_client.h
+++ b/modules/filbert_transport/http_client.h
@@ -11,92 +11,104 @@
 
 namespace filbert {
 
-/** One call of another HTTP server. */
+/** A request to an HTTP server. */
 struct http_call
 {
-    std::uint64_t id = 0; // for cancel(); 0 = it is never cancelled
+    std::uint64_t id = 0; // for cancel(); 0 = cannot be cancelled
     std::string endpoint; // IP:port
     std::string method = "POST";
     std::string path = "/";
     std::vector<http_header> headers;
     std::string body;
     milliseconds timeout {5'000};
-    bool needsNewConnection = false; // a kept one may be closed by the other end as it is used
+    // A server may close an idle connection at the moment at which it is reused.
+    bool needsNewConnection = false;
 };
 
-/** How long the library may wait for an answer: beyond the call's own deadline, which counts.
+/** The timeout to set in libwebsockets for a call. It lies past the deadline of the call, which
+    http_client enforces itself.
 
-    Never negative, also long past the deadline after a sleep of the host: negative values are
-    commands to the library, which then closes connections from within.
-    @return seconds
+    It is never negative, even long past the deadline after the host was suspended: libwebsockets
+    takes negative values as commands and closes connections from within the call.
+
+    @return the timeout in seconds
 */
 int libraryTimeoutSeconds(time_point deadline, time_point now);
 
-/** An HTTP/1.1 client on the loop, with a bounded number of kept connections to each endpoint.
+/** An HTTP/1.1 client with a limited number of persistent connections to each endpoint.
 
-    Every call ends with exactly one call of its handler: a whole answer, or an error that says what
-    is certain: ConnectionFailed (not a byte of the request left) or TargetLost and Timeout (it may
-    have been read).
+    The handler of a call is invoked exactly once, with a complete response or with an error that
+    tells whether the server may have seen the request: with ConnectionFailed no byte of it was
+    sent, with TargetLost and Timeout the server may have read it.
 */
 class http_client
 {
 public:
     using handler = std::function<void(std::error_code, http_response &&)>;
 
-    /** @param loop         runs it; outlives the client
-        @param connections  the most at one time to one endpoint; calls beyond wait
-        @param usesTls      whether endpoints speak TLS
-        @param trustedFile  certificates to trust; empty = the system's
+    /** @param loop            the event loop; must outlive the client
+        @param maxConnections  maximum number of connections to one endpoint; further calls wait
+        @param usesTls         whether the endpoints use TLS
+        @param trustedFile     PEM file of trusted certificates; empty = those of the system
     */
-    http_client(event_loop &loop, int connections, bool usesTls = false,
+    http_client(event_loop &loop, int maxConnections, bool usesTls = false,
                 const std::string &trustedFile = {});
     ~http_client();
     http_client(const http_client &) = delete;
     http_client &operator=(const http_client &) = delete;
 
-    /** @param call what to send @param onAnswer called once, never from inside send() */
-    void send(http_call &&call, handler onAnswer);
+    /** Sends a request.
+
+        @param call        the request
+        @param onResponse  called exactly once, never from within send()
+    */
+    void send(http_call &&call, handler onResponse);
+
+    /** Ends a call immediately, with ConnectionFailed if no byte of it was sent and with TargetLost
+        otherwise. In the latter case, idle connections to its endpoint are not reused for the
+        suspect period, since they may be broken as well.
 
-    /** Ends a call at once, with ConnectionFailed if not a byte of it has left, else TargetLost,
-       and takes new connections to its endpoint for a while: the kept ones may be as silent as its
-       was.
-        @param id of the call; one that has ended already is passed over */
+        @param id  of the call; ignored if the call has already ended
+    */
     void cancel(std::uint64_t id);
 
-    /** Sets how many connections an endpoint gets from now on. @param connections at least 1 */
-    void setMaxConnections(int connections);
+    /** Changes the maximum number of connections to one endpoint. @param count at least 1 */
+    void setMaxConnections(int count);
+
+    /** Sets for how long idle connections to an endpoint are not reused after a call to it got no
+        response.
 
-    /** Sets how long kept connections to an endpoint are passed over after a call on one of them
-       got no answer. As long as they are kept (the default), none is ever used again; shorter,
-       those that are silent too cost a time-out each, and the others stay in use. */
-    void setSuspectPeriod(milliseconds span) { doubtSpan = span; }
+        With the default, the time for which idle connections are kept, none of them is ever used
+        again. With a shorter period the working ones stay in use, but each broken one costs a
+        timeout. */
+    void setSuspectPeriod(milliseconds period) { suspectPeriod = period; }
 
-    /** @return calls that have not ended */
-    std::size_t pendingCalls() const { return live.size(); }
+    /** @return the number of calls that have not ended */
+    std::size_t pendingCalls() const { return activeCalls.size(); }
 
 private:
-    struct exchange;
+    struct pending_call;
     struct endpoint_state;
 
     static int onEvent(lws *wsi, lws_callback_reasons reason, void *user, void *in,
                        std::size_t length);
-    void start(const std::shared_ptr<exchange> &call);
-    void startWaiting(endpoint_state &endpoint);
-    int appendHeaders(lws *wsi, exchange &call, unsigned char **position, std::size_t room);
-    int writeBody(lws *wsi, exchange &call);
-    static void finish(exchange &call, std::error_code error);
-    static void abandon(exchange &call, std::error_code error);
+    void start(const std::shared_ptr<pending_call> &call);
+    void startWaitingCalls(endpoint_state &endpoint);
+    int appendHeaders(lws *wsi, pending_call &call, unsigned char **position, std::size_t room);
+    int writeBody(lws *wsi, pending_call &call);
+    static void finish(pending_call &call, std::error_code error);
+    static void abandon(pending_call &call, std::error_code error);
     void checkDeadlines();
 
     lws_protocols protocols[2];
     event_loop &loop;
-    std::vector<lws_vhost *> vhosts; // one for each connection to an endpoint, see send()
-    int connections;
+    std::vector<lws_vhost *> vhosts; // one for each connection slot, see start()
+    int maxConnections;
     bool usesTls;
     std::string trustedFile;
-    milliseconds doubtSpan {15'000}; // connections are kept for that long
+    milliseconds suspectPeriod {15'000}; // idle connections are kept for this long
     std::unordered_map<std::string, std::unique_ptr<endpoint_state>> endpoints;
-    std::unordered_map<exchange *, std::shared_ptr<exchange>> live;
+    std::unordered_map<pending_call *, std::shared_ptr<pending_call>> activeCalls;
 };
 
 } // namespace filbert
--- a/modules/filbert_transport/http_server.cpp
+++ b/modules/filbert_transport/http_server.cpp
@@ -33,7 +33,7 @@
     {WSI_TOKEN_HEAD_URI, "HEAD"},
 };
 
-std::string methodOf(lws *wsi)
+std::string requestMethod(lws *wsi)
 {
     for (const auto &entry : methodTokens) {
         if (lws_hdr_total_length(wsi, entry.token) > 0) {
@@ -43,7 +43,7 @@
     return {};
 }
 
-std::string headerOf(lws *wsi, lws_token_indexes token)
+std::string headerField(lws *wsi, lws_token_indexes token)
 {
     const int length = lws_hdr_total_length(wsi, token);
     if (length <= 0) {
@@ -55,7 +55,7 @@
     return value;
 }
 
-std::string customHeaderOf(lws *wsi, std::string_view name)
+std::string customHeaderField(lws *wsi, std::string_view name)
 {
     const int length = lws_hdr_custom_length(wsi, name.data(), static_cast<int>(name.size()));
     if (length <= 0) {
@@ -68,33 +68,33 @@
     return value;
 }
 
-std::int64_t numberOf(const std::string &text)
+std::int64_t parseNumber(const std::string &text)
 {
     std::int64_t number = -1;
     std::from_chars(text.data(), text.data() + text.size(), number);
     return number;
 }
 
-/** Whether a port is free; the library does not say that it could not open its socket. */
+/** Whether a port is free. The library does not report that it could not open its socket. */
 bool canListen(const std::string &address, int port)
 {
-    const int trial = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (trial < 0) {
+    const int probe = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    if (probe < 0) {
         return false;
     }
     const int yes = 1;
-    setsockopt(trial, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
+    setsockopt(probe, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
     sockaddr_in name {};
     name.sin_family = AF_INET;
     name.sin_port = htons(static_cast<std::uint16_t>(port));
     inet_pton(AF_INET, address.c_str(), &name.sin_addr);
-    const bool isFree = bind(trial, reinterpret_cast<const sockaddr *>(&name), sizeof name) == 0
-        && listen(trial, 1) == 0;
-    close(trial);
+    const bool isFree = bind(probe, reinterpret_cast<const sockaddr *>(&name), sizeof name) == 0
+        && listen(probe, 1) == 0;
+    close(probe);
     return isFree;
 }
 
-bool usePair(SSL_CTX *context, const tls_files &tls)
+bool loadKeyPair(SSL_CTX *context, const tls_files &tls)
 {
     return SSL_CTX_use_certificate_chain_file(context, tls.certificate.c_str()) == 1
         && SSL_CTX_use_PrivateKey_file(context, tls.privateKey.c_str(), SSL_FILETYPE_PEM) == 1
@@ -103,28 +103,28 @@
 
 } // namespace
 
-/** One exchange: the request as far as it has come, then the answer as far as it has gone. */
-struct http_server::session
+/** A request as far as it was received, and its response as far as it was written. */
+struct http_server::exchange
 {
     http_request request;
-    http_response answer;
+    http_response response;
     lws *wsi = nullptr;
     std::size_t expectedBytes = 0;
     std::size_t written = 0;
-    bool isWhole = false;
+    bool isComplete = false;
     bool isAnswered = false;
     bool areHeadersWritten = false;
     bool endsConnection = false;
 };
 
-/** What the library keeps for a connection. */
+/** The per-connection data that the library stores for the server. */
 struct http_server::connection
 {
     std::uint64_t id;
 };
 
 http_server::http_server(event_loop &loop, const std::string &address, int port, http_limits limits,
-                         const tls_files &tls, handler onRequest,
+                         const tls_files &tls, request_handler onRequest,
                          const std::vector<std::string> &headerNames)
     : protocols {{"http", onEvent, sizeof(connection), 0, 0, this, 0},
                  {nullptr, nullptr, 0, 0, 0, nullptr, 0}}
@@ -145,13 +145,12 @@
     info.timeout_secs = static_cast<unsigned>(limits.idleTimeoutSeconds);
     info.user = this;
     if (!tls.certificate.empty()) {
-        info.options |=
-            LWS_SERVER_OPTION_DO_SSL_GLOBAL_INIT; // without it the files are passed over
+        info.options |= LWS_SERVER_OPTION_DO_SSL_GLOBAL_INIT; // without it the files are ignored
         info.ssl_cert_filepath = this->tls.certificate.c_str();
         info.ssl_private_key_filepath = this->tls.privateKey.c_str();
     }
     if (!canListen(this->address, port)) {
-        return; // the library would give a virtual host that is deaf
+        return; // the library would create a virtual host that does not listen
     }
     vhost = lws_create_vhost(loop.context(), &info);
     listenPort = vhost != nullptr ? lws_get_vhost_listen_port(vhost) : 0;
@@ -160,7 +159,7 @@
 http_server::~http_server()
 {
     if (vhost != nullptr) {
-        sessions.clear();
+        exchanges.clear();
         lws_vhost_destroy(vhost);
     }
 }
@@ -170,10 +169,12 @@
     if (tlsContext == nullptr) {
         return false;
     }
-    // Tried apart first: files that are being replaced must not leave half of a pair in use.
-    const std::unique_ptr<SSL_CTX, decltype(&SSL_CTX_free)> trial {SSL_CTX_new(TLS_server_method()),
-                                                                   SSL_CTX_free};
-    return trial && usePair(trial.get(), tls) && usePair(static_cast<SSL_CTX *>(tlsContext), tls);
+    // Loads the files into a temporary context first: files that are being replaced must not leave
+    // a certificate in use whose private key does not match.
+    const std::unique_ptr<SSL_CTX, decltype(&SSL_CTX_free)> candidate {
+        SSL_CTX_new(TLS_server_method()), SSL_CTX_free};
+    return candidate && loadKeyPair(candidate.get(), tls)
+        && loadKeyPair(static_cast<SSL_CTX *>(tlsContext), tls);
 }
 
 int http_server::onEvent(lws *wsi, lws_callback_reasons reason, void *user, void *in,
@@ -181,7 +182,7 @@
 {
     const lws_protocols *protocol = lws_get_protocol(wsi);
     auto *self = protocol != nullptr ? static_cast<http_server *>(protocol->user) : nullptr;
-    auto *open = static_cast<connection *>(user);
+    auto *state = static_cast<connection *>(user);
     switch (reason) {
     case LWS_CALLBACK_OPENSSL_LOAD_EXTRA_SERVER_VERIFY_CERTS: {
         auto *owner = static_cast<http_server *>(lws_get_vhost_user(static_cast<lws_vhost *>(in)));
@@ -191,17 +192,17 @@
         return 0;
     }
     case LWS_CALLBACK_HTTP:
-        return self->onHeaders(wsi, open, static_cast<const char *>(in), length);
+        return self->onHeaders(wsi, state, static_cast<const char *>(in), length);
     case LWS_CALLBACK_HTTP_BODY:
-        return self->onBody(open, static_cast<const char *>(in), length);
+        return self->onBody(state, static_cast<const char *>(in), length);
     case LWS_CALLBACK_HTTP_BODY_COMPLETION:
-        return self->onWhole(wsi, open);
+        return self->onRequestComplete(wsi, state);
     case LWS_CALLBACK_HTTP_WRITEABLE:
-        return self->onWritable(wsi, open);
+        return self->onWritable(wsi, state);
     case LWS_CALLBACK_HTTP_DROP_PROTOCOL:
     case LWS_CALLBACK_CLOSED_HTTP:
-        if (self != nullptr && open != nullptr) {
-            self->forget(open);
+        if (self != nullptr && state != nullptr) {
+            self->removeExchange(state);
         }
         return 0;
     default:
@@ -212,51 +213,51 @@
 int http_server::onHeaders(lws *wsi, connection *user, const char *uri, std::size_t length)
 {
     static std::uint64_t lastId = 0;
-    forget(user);
+    removeExchange(user);
     user->id = ++lastId;
-    auto &open = *sessions.emplace(user->id, std::make_unique<session>()).first->second;
-    open.wsi = wsi;
-    auto &request = open.request;
+    auto &current = *exchanges.emplace(user->id, std::make_unique<exchange>()).first->second;
+    current.wsi = wsi;
+    auto &request = current.request;
     request.id = user->id;
-    request.method = methodOf(wsi);
+    request.method = requestMethod(wsi);
     request.path.assign(uri, length);
-    request.host = headerOf(wsi, WSI_TOKEN_HOST);
-    request.query = headerOf(wsi, WSI_TOKEN_HTTP_URI_ARGS);
-    request.authorization = headerOf(wsi, WSI_TOKEN_HTTP_AUTHORIZATION);
-    request.contentType = headerOf(wsi, WSI_TOKEN_HTTP_CONTENT_TYPE);
-    request.idempotencyKey = customHeaderOf(wsi, "idempotency-key:");
-    const auto deadline = customHeaderOf(wsi, "filbert-deadline-ms:");
-    request.deadline = {deadline.empty() ? 0 : numberOf(deadline)};
+    request.host = headerField(wsi, WSI_TOKEN_HOST);
+    request.query = headerField(wsi, WSI_TOKEN_HTTP_URI_ARGS);
+    request.authorization = headerField(wsi, WSI_TOKEN_HTTP_AUTHORIZATION);
+    request.contentType = headerField(wsi, WSI_TOKEN_HTTP_CONTENT_TYPE);
+    request.idempotencyKey = customHeaderField(wsi, "idempotency-key:");
+    const auto deadline = customHeaderField(wsi, "filbert-deadline-ms:");
+    request.deadline = {deadline.empty() ? 0 : parseNumber(deadline)};
 
     for (const auto &name : headerNames) {
-        request.headers.push_back({name, customHeaderOf(wsi, name + ":")});
+        request.headers.push_back({name, customHeaderField(wsi, name + ":")});
     }
-    if (sessions.size() > limits.maxPendingRequests) {
-        refuse(wsi, open, error_kind::Overloaded);
+    if (exchanges.size() > limits.maxPendingRequests) {
+        reject(wsi, current, error_kind::Overloaded);
         return 0;
     }
-    const auto stated = headerOf(wsi, WSI_TOKEN_HTTP_CONTENT_LENGTH);
-    if (!headerOf(wsi, WSI_TOKEN_HTTP_TRANSFER_ENCODING).empty()) {
-        refuse(wsi, open, error_kind::Malformed);
+    const auto contentLength = headerField(wsi, WSI_TOKEN_HTTP_CONTENT_LENGTH);
+    if (!headerField(wsi, WSI_TOKEN_HTTP_TRANSFER_ENCODING).empty()) {
+        reject(wsi, current, error_kind::Malformed);
         return 0;
     }
-    const auto maxBodyBytes = stated.empty() ? 0 : numberOf(stated);
-    if (maxBodyBytes < 0) {
-        refuse(wsi, open, error_kind::Malformed);
+    const auto bodyBytes = contentLength.empty() ? 0 : parseNumber(contentLength);
+    if (bodyBytes < 0) {
+        reject(wsi, current, error_kind::Malformed);
         return 0;
     }
-    if (static_cast<std::size_t>(maxBodyBytes) > limits.maxBodyBytes) {
-        refuse(wsi, open, error_kind::TooLarge);
+    if (static_cast<std::size_t>(bodyBytes) > limits.maxBodyBytes) {
+        reject(wsi, current, error_kind::TooLarge);
         return 0;
     }
-    open.expectedBytes = static_cast<std::size_t>(maxBodyBytes);
-    return maxBodyBytes == 0 ? onWhole(wsi, user) : 0;
+    current.expectedBytes = static_cast<std::size_t>(bodyBytes);
+    return bodyBytes == 0 ? onRequestComplete(wsi, user) : 0;
 }
 
 int http_server::onBody(connection *user, const char *data, std::size_t length)
 {
-    const auto found = sessions.find(user->id);
-    if (found == sessions.end() || found->second->isWhole) {
+    const auto found = exchanges.find(user->id);
+    if (found == exchanges.end() || found->second->isComplete) {
         return 0;
     }
     auto &request = found->second->request;
@@ -267,73 +268,75 @@
     return 0;
 }
 
-int http_server::onWhole(lws *wsi, connection *user)
+int http_server::onRequestComplete(lws *wsi, connection *user)
 {
-    const auto found = sessions.find(user->id);
-    if (found == sessions.end() || found->second->isWhole) {
+    const auto found = exchanges.find(user->id);
+    if (found == exchanges.end() || found->second->isComplete) {
         return 0;
     }
-    auto &open = *found->second;
-    if (open.request.body.size() < open.expectedBytes) {
-        return 0; // the library also reports "complete" for bodies that it has not read
+    auto &current = *found->second;
+    if (current.request.body.size() < current.expectedBytes) {
+        return 0; // the library reports completion even for bodies that it has not read
     }
-    open.isWhole = true;
-    lws_set_timeout(wsi, NO_PENDING_TIMEOUT, 0); // the answer's own deadline is kept by the handler
-    onRequest(std::move(open.request));
+    current.isComplete = true;
+    // The request handler enforces its own deadline for the response.
+    lws_set_timeout(wsi, NO_PENDING_TIMEOUT, 0);
+    onRequest(std::move(current.request));
     return 0;
 }
 
-void http_server::refuse(lws *wsi, session &open, error_kind kind)
+void http_server::reject(lws *wsi, exchange &current, error_kind kind)
 {
-    open.isWhole = true;
-    open.isAnswered = true;
-    open.endsConnection = true; // what follows on the connection would be the unread body
-    open.answer = problemResponse(kind, std::string {errorInfo(kind).description});
+    current.isComplete = true;
+    current.isAnswered = true;
+    current.endsConnection = true; // the unread body would follow on the connection
+    current.response = problemResponse(kind, std::string {errorInfo(kind).description});
     lws_callback_on_writable(wsi);
 }
 
-void http_server::respond(std::uint64_t id, http_response &&answer)
+void http_server::respond(std::uint64_t id, http_response &&response)
 {
-    const auto found = sessions.find(id);
-    if (found == sessions.end()) {
+    const auto found = exchanges.find(id);
+    if (found == exchanges.end()) {
         return;
     }
-    auto &open = *found->second;
-    open.answer = std::move(answer);
-    open.isAnswered = true;
-    lws_callback_on_writable(open.wsi);
+    auto &current = *found->second;
+    current.response = std::move(response);
+    current.isAnswered = true;
+    lws_callback_on_writable(current.wsi);
 }
 
 int http_server::onWritable(lws *wsi, connection *user)
 {
-    const auto found = sessions.find(user->id);
-    if (found == sessions.end() || !found->second->isAnswered) {
+    const auto found = exchanges.find(user->id);
+    if (found == exchanges.end() || !found->second->isAnswered) {
         return 0;
     }
-    auto &open = *found->second;
-    if (!open.areHeadersWritten) {
-        return writeHeaders(wsi, open);
+    auto &current = *found->second;
+    if (!current.areHeadersWritten) {
+        return writeHeaders(wsi, current);
     }
-    return writeBody(wsi, user, open);
+    return writeBody(wsi, user, current);
 }
 
-int http_server::writeHeaders(lws *wsi, session &open)
+int http_server::writeHeaders(lws *wsi, exchange &current)
 {
-    open.endsConnection = open.endsConnection || isClosing;
-    if (open.endsConnection) {
-        open.answer.headers.push_back({"connection", "close"});
+    current.endsConnection = current.endsConnection || isClosing;
+    if (current.endsConnection) {
+        current.response.headers.push_back({"connection", "close"});
     }
     std::vector<unsigned char> buffer(LWS_PRE + headerBytes);
     unsigned char *position = buffer.data() + LWS_PRE;
     unsigned char *const start = position;
     unsigned char *const end = buffer.data() + buffer.size() - 1;
-    const auto &answer = open.answer;
-    if (lws_add_http_common_headers(wsi, static_cast<unsigned>(answer.status),
-                                    answer.contentType.c_str(), answer.body.size(), &position, end)
+    const auto &response = current.response;
+    if (lws_add_http_common_headers(wsi, static_cast<unsigned>(response.status),
+                                    response.contentType.c_str(), response.body.size(), &position,
+                                    end)
         != 0) {
         return -1;
     }
-    for (const auto &header : answer.headers) {
+    for (const auto &header : response.headers) {
         const auto name = header.name + ":";
         if (lws_add_http_header_by_name(
                 wsi, reinterpret_cast<const unsigned char *>(name.c_str()),
@@ -346,39 +349,39 @@
     if (lws_finalize_write_http_header(wsi, start, &position, end) != 0) {
         return -1;
     }
-    open.areHeadersWritten = true;
+    current.areHeadersWritten = true;
     lws_callback_on_writable(wsi);
     return 0;
 }
 
-int http_server::writeBody(lws *wsi, connection *user, session &open)
+int http_server::writeBody(lws *wsi, connection *user, exchange &current)
 {
-    const auto &body = open.answer.body;
-    const auto length = std::min(writeChunkBytes, body.size() - open.written);
-    const bool isLast = open.written + length == body.size();
+    const auto &body = current.response.body;
+    const auto length = std::min(writeChunkBytes, body.size() - current.written);
+    const bool isLast = current.written + length == body.size();
     std::vector<unsigned char> buffer(LWS_PRE + length);
-    std::memcpy(buffer.data() + LWS_PRE, body.data() + open.written, length);
+    std::memcpy(buffer.data() + LWS_PRE, body.data() + current.written, length);
     if (length > 0
         && lws_write(wsi, buffer.data() + LWS_PRE, length,
                      isLast ? LWS_WRITE_HTTP_FINAL : LWS_WRITE_HTTP)
             < 0) {
         return -1;
     }
-    open.written += length;
+    current.written += length;
     if (!isLast) {
         lws_callback_on_writable(wsi);
         return 0;
     }
-    const bool ends = open.endsConnection;
-    sessions.erase(user->id);
+    const bool ends = current.endsConnection;
+    exchanges.erase(user->id);
     user->id = 0;
     return lws_http_transaction_completed(wsi) != 0 || ends ? -1 : 0;
 }
 
-void http_server::forget(connection *user)
+void http_server::removeExchange(connection *user)
 {
     if (user->id != 0) {
-        sessions.erase(user->id);
+        exchanges.erase(user->id);
         user->id = 0;
     }
 }
@@ -393,15 +396,15 @@
     problem.set_detail(detail);
     problem.set_kind(std::string {row.name});
     problem.set_outcome(std::string {outcomeName(row.outcome)});
-    http_response answer;
-    answer.status = row.httpStatus;
-    answer.contentType = "application/problem+json";
-    answer.body = writeJson(problem);
+    http_response response;
+    response.status = row.httpStatus;
+    response.contentType = "application/problem+json";
+    response.body = writeJson(problem);
     if (retryAfter.count > 0) {
         const auto seconds = (retryAfter.count + millisecondsPerSecond - 1) / millisecondsPerSecond;
-        answer.headers.push_back({"retry-after", std::to_string(seconds)});
+        response.headers.push_back({"retry-after", std::to_string(seconds)});
     }
-    return answer;
+    return response;
 }
 
 } // namespace filbert
--- a/modules/filbert_transport/http_server.h
+++ b/modules/filbert_transport/http_server.h
@@ -10,68 +10,68 @@
 
 namespace filbert {
 
-/** An HTTP/1.1 server on the loop; each request is answered later by its id.
+/** An HTTP/1.1 server. Requests are answered asynchronously, by their id.
 
-    @code http_server server {loop, "127.0.0.1", 8080, {}, {}, handler}; @endcode
+    @code http_server server {loop, "127.0.0.1", 8080, {}, {}, onRequest}; @endcode
 */
 class http_server
 {
 public:
-    using handler = std::function<void(http_request &&)>;
+    using request_handler = std::function<void(http_request &&)>;
 
-    /** Starts to listen.
+    /** Starts to listen. isListening() tells whether that succeeded.
 
-        @param loop     runs it; outlives the server
-        @param address  IP of the interface
-        @param port     0 lets the system choose, see port()
-        @param limits   bounds on what callers send
-        @param tls      certificate and key, or empty
-        @param onRequest called once for each whole request; answer with respond()
-        @param headerNames  further headers to hand on, in lower case
+        @param loop         the event loop; must outlive the server
+        @param address      IP address of the network interface
+        @param port         0 lets the system choose a free port, see port()
+        @param limits       limits on what callers may send
+        @param tls          certificate and private key; empty for plain HTTP
+        @param onRequest    called once for each complete request, which respond() answers
+        @param headerNames  additional header fields to read, in lower case
     */
     http_server(event_loop &loop, const std::string &address, int port, http_limits limits,
-                const tls_files &tls, handler onRequest,
+                const tls_files &tls, request_handler onRequest,
                 const std::vector<std::string> &headerNames = {});
     ~http_server();
     http_server(const http_server &) = delete;
     http_server &operator=(const http_server &) = delete;
 
-    /** Answers a request; a caller who has gone is passed over.
+    /** Answers a request. Does nothing if the caller has disconnected.
 
-        @param id      of the request
-        @param answer  the whole answer
+        @param id        id of the request
+        @param response  the complete response
     */
-    void respond(std::uint64_t id, http_response &&answer);
+    void respond(std::uint64_t id, http_response &&response);
 
-    /** From now on answers end their connections, so that callers move elsewhere. */
+    /** Closes each connection after its next response, so that callers move to other servers. */
     void closeAfterResponses() { isClosing = true; }
 
-    /** @return requests that have no answer yet */
-    std::size_t pendingRequests() const { return sessions.size(); }
+    /** @return the number of requests whose response has not been written out yet */
+    std::size_t pendingRequests() const { return exchanges.size(); }
 
-    /** @return answers that have not been written out yet */
-    bool isIdle() const { return sessions.empty(); }
+    /** @return whether all responses have been written out */
+    bool isIdle() const { return exchanges.empty(); }
 
-    /** Takes the certificate files anew, for new connections. @return whether that went well */
+    /** Reloads the certificate files, for new connections. @return whether that succeeded */
     bool reloadCertificate();
 
     int port() const { return listenPort; }
     bool isListening() const { return vhost != nullptr; }
 
 private:
-    struct session;
+    struct exchange;
     struct connection;
 
     static int onEvent(lws *wsi, lws_callback_reasons reason, void *user, void *in,
                        std::size_t length);
     int onHeaders(lws *wsi, connection *user, const char *uri, std::size_t length);
     int onBody(connection *user, const char *data, std::size_t length);
-    int onWhole(lws *wsi, connection *user);
+    int onRequestComplete(lws *wsi, connection *user);
     int onWritable(lws *wsi, connection *user);
-    int writeHeaders(lws *wsi, session &open);
-    int writeBody(lws *wsi, connection *user, session &open);
-    void refuse(lws *wsi, session &open, error_kind kind);
-    void forget(connection *user);
+    int writeHeaders(lws *wsi, exchange &current);
+    int writeBody(lws *wsi, connection *user, exchange &current);
+    void reject(lws *wsi, exchange &current, error_kind kind);
+    void removeExchange(connection *user);
 
     lws_protocols protocols[2];
     lws_vhost *vhost = nullptr;
@@ -79,16 +79,20 @@
     http_limits limits;
     tls_files tls;
     std::string address;
-    handler onRequest;
+    request_handler onRequest;
     std::vector<std::string> headerNames;
-    std::unordered_map<std::uint64_t, std::unique_ptr<session>> sessions;
+    std::unordered_map<std::uint64_t, std::unique_ptr<exchange>> exchanges;
     void *tlsContext = nullptr;
     int listenPort = 0;
     bool isClosing = false;
 };
 
-/** The answer for an error, as problem details. @param kind of the closed list @param detail for a
- * person */
+/** Creates the response for an error, as problem details (RFC 7807).
+
+    @param kind        the error
+    @param detail      explanation for a person
+    @param retryAfter  when to try again; 0 = not stated
+*/
 http_response problemResponse(error_kind kind, const std::string &detail,
                               milliseconds retryAfter = {});
 
--- a/modules/filbert_transport/http_types.h
+++ b/modules/filbert_transport/http_types.h
@@ -10,14 +10,14 @@
 
 namespace filbert {
 
-/** One header line; names in lower case. */
+/** An HTTP header field. The name is in lower case. */
 struct http_header
 {
     std::string name;
     std::string value;
 };
 
-/** @param headers any @param name in lower case @return its value; empty if it is not there */
+/** @param name in lower case @return the value of a header field; empty if it is absent */
 inline std::string headerValue(const std::vector<http_header> &headers, std::string_view name)
 {
     for (const auto &header : headers) {
@@ -28,7 +28,8 @@
     return {};
 }
 
-/** @return a header's value as a number; 0 if it is absent or none */
+/** @param name in lower case @return the value of a header field as a number; 0 if it is absent or
+    not a number */
 inline std::int64_t headerNumber(const std::vector<http_header> &headers, std::string_view name)
 {
     const auto text = headerValue(headers, name);
@@ -37,23 +38,23 @@
     return number;
 }
 
-/** A whole request as a server got it; a body that was cut never becomes a request. */
+/** A complete request as received by a server. Truncated requests are never delivered. */
 struct http_request
 {
-    std::uint64_t id = 0; // of this exchange, unique in the process
+    std::uint64_t id = 0; // unique within the process
     std::string method;
-    std::string host; // as the caller named it, with the port if it did
+    std::string host; // the Host header, with the port if the caller gave one
     std::string path;
     std::string query;
     std::string authorization;
     std::string idempotencyKey;
     std::string contentType;
-    milliseconds deadline; // 0 = none was stated
+    milliseconds deadline; // 0 = none given
     std::string body;
-    std::vector<http_header> headers; // those that the server was told to read besides
+    std::vector<http_header> headers; // the additional ones that the server was configured to read
 };
 
-/** A whole answer. */
+/** A complete response. */
 struct http_response
 {
     int status = 200;
@@ -62,7 +63,7 @@
     std::string body;
 };
 
-/** Bounds that hold before anything is parsed. */
+/** Limits that a server enforces before it parses a body. */
 struct http_limits
 {
     std::size_t maxBodyBytes = 1 << 20;
@@ -70,7 +71,7 @@
     int idleTimeoutSeconds = 20;
 };
 
-/** Files that switch a server to TLS; empty names mean plain HTTP. */
+/** Paths of the PEM files that a server uses for TLS. Empty paths select plain HTTP. */
 struct tls_files
 {
     std::string certificate;
--- a/modules/filbert_transport/member_sockets.cpp
+++ b/modules/filbert_transport/member_sockets.cpp
@@ -36,13 +36,14 @@
 void member_sockets::maintainConnection(const messages::member &member, time_point now)
 {
     clients.connect(member.address());
-    // A host whose disk was replaced has two identities at one address for a while.
-    auto &quietSince = quietSinceOf[member.address()];
-    quietSince = std::max(quietSince, lastContactAt[member.identity()]);
-    if (now - quietSince < silenceTimeout) {
+    // For a while after its disk was replaced, a host has two identities at one address, so the
+    // time is stored by address.
+    auto &since = silentSince[member.address()];
+    since = std::max(since, lastContactAt[member.identity()]);
+    if (now - since < silenceTimeout) {
         return;
     }
-    quietSince = now;
+    since = now;
     clients.reconnect(member.address());
 }
 
--- a/modules/filbert_transport/message_socket.cpp
+++ b/modules/filbert_transport/message_socket.cpp
@@ -6,25 +6,26 @@
 
 namespace {
 
-constexpr int queuedMessages = 200'000;
-constexpr int heartbeatMs = 1'500;
-constexpr int silentMs = 3'000;
-constexpr int handshakeMs = 1'000; // one that a silent connection swallowed would last 30 s
-constexpr int reconnectMs = 50;
-constexpr int reconnectMaxMs = 500;
-constexpr int messagesPerDrain = 512;
+constexpr int maxQueuedMessages = 200'000;
+constexpr int heartbeatIntervalMs = 1'500;
+constexpr int heartbeatTimeoutMs = 3'000;
+// The default of 30 s is too long for a handshake that a broken connection has lost.
+constexpr int handshakeTimeoutMs = 1'000;
+constexpr int reconnectIntervalMs = 50;
+constexpr int maxReconnectIntervalMs = 500;
+constexpr int maxMessagesPerWake = 512;
 constexpr std::int64_t maxMessageBytes = 64 << 20;
 
 void setCommonOptions(zmq::socket_t &socket)
 {
     socket.set(zmq::sockopt::linger, 0);
-    socket.set(zmq::sockopt::sndhwm, queuedMessages);
-    socket.set(zmq::sockopt::rcvhwm, queuedMessages);
+    socket.set(zmq::sockopt::sndhwm, maxQueuedMessages);
+    socket.set(zmq::sockopt::rcvhwm, maxQueuedMessages);
     socket.set(zmq::sockopt::maxmsgsize, maxMessageBytes);
-    socket.set(zmq::sockopt::heartbeat_ivl, heartbeatMs);
-    socket.set(zmq::sockopt::heartbeat_timeout, silentMs);
-    socket.set(zmq::sockopt::heartbeat_ttl, silentMs);
-    socket.set(zmq::sockopt::handshake_ivl, handshakeMs);
+    socket.set(zmq::sockopt::heartbeat_ivl, heartbeatIntervalMs);
+    socket.set(zmq::sockopt::heartbeat_timeout, heartbeatTimeoutMs);
+    socket.set(zmq::sockopt::heartbeat_ttl, heartbeatTimeoutMs);
+    socket.set(zmq::sockopt::handshake_ivl, handshakeTimeoutMs);
 }
 
 bool hasInput(zmq::socket_t &socket)
@@ -32,7 +33,7 @@
     return (socket.get(zmq::sockopt::events) & ZMQ_POLLIN) != 0;
 }
 
-std::string textOf(zmq::message_t &message)
+std::string toString(zmq::message_t &message)
 {
     return {static_cast<const char *>(message.data()), message.size()};
 }
@@ -41,7 +42,7 @@
 
 message_server::message_server(event_loop &loop, zmq::context_t &context,
                                const std::string &endpoint, const curve_keys &keys,
-                               handler onMessage)
+                               message_handler onMessage)
     : socket {context, zmq::socket_type::router}
     , onMessage {std::move(onMessage)}
 {
@@ -56,13 +57,13 @@
     }
     socket.bind(endpoint);
     loop.watchDescriptor(socket.get(zmq::sockopt::fd));
-    loop.onWake([this] { return drain(); });
+    loop.onWake([this] { return receiveMessages(); });
 }
 
-bool message_server::drain()
+bool message_server::receiveMessages()
 {
-    int taken = 0;
-    while (taken < messagesPerDrain && hasInput(socket)) {
+    int receivedCount = 0;
+    while (receivedCount < maxMessagesPerWake && hasInput(socket)) {
         zmq::message_t peer;
         zmq::message_t body;
         if (!socket.recv(peer, zmq::recv_flags::dontwait)) {
@@ -71,10 +72,10 @@
         if (!peer.more() || !socket.recv(body, zmq::recv_flags::dontwait)) {
             continue;
         }
-        ++taken;
-        onMessage(textOf(peer), textOf(body));
+        ++receivedCount;
+        onMessage(toString(peer), toString(body));
     }
-    return taken > 0;
+    return receivedCount > 0;
 }
 
 bool message_server::send(const std::string &peer, const std::string &message)
@@ -88,26 +89,27 @@
     }
 }
 
-/** Shared with the loop, which may still hold the wake action when the client has gone. */
-struct message_client::shared_socket
+/** Owned by the client. The wake action of the loop may outlive the client, so that it has only a
+    weak reference. */
+struct message_client::socket_state
 {
     zmq::socket_t socket;
     std::string endpoint;
-    handler onMessage;
+    message_handler onMessage;
 };
 
 message_client::message_client(event_loop &loop, zmq::context_t &context, const std::string &name,
                                const std::string &endpoint, const curve_keys &keys,
-                               handler onMessage)
-    : shared {std::make_shared<shared_socket>(shared_socket {
+                               message_handler onMessage)
+    : state {std::make_shared<socket_state>(socket_state {
         zmq::socket_t {context, zmq::socket_type::dealer}, endpoint, std::move(onMessage)})}
 {
-    auto &socket = shared->socket;
+    auto &socket = state->socket;
     setCommonOptions(socket);
     socket.set(zmq::sockopt::routing_id, name);
     socket.set(zmq::sockopt::immediate, true);
-    socket.set(zmq::sockopt::reconnect_ivl, reconnectMs);
-    socket.set(zmq::sockopt::reconnect_ivl_max, reconnectMaxMs);
+    socket.set(zmq::sockopt::reconnect_ivl, reconnectIntervalMs);
+    socket.set(zmq::sockopt::reconnect_ivl_max, maxReconnectIntervalMs);
     if (!keys.secretKey.empty()) {
         socket.set(zmq::sockopt::curve_publickey, keys.publicKey);
         socket.set(zmq::sockopt::curve_secretkey, keys.secretKey);
@@ -115,21 +117,21 @@
     }
     socket.connect(endpoint);
     loop.watchDescriptor(socket.get(zmq::sockopt::fd));
-    loop.onWake([weak = std::weak_ptr {shared}] {
-        const auto held = weak.lock();
-        if (!held) {
+    loop.onWake([weak = std::weak_ptr {state}] {
+        const auto owner = weak.lock();
+        if (!owner) {
             return false;
         }
-        int taken = 0;
-        while (taken < messagesPerDrain && hasInput(held->socket)) {
+        int receivedCount = 0;
+        while (receivedCount < maxMessagesPerWake && hasInput(owner->socket)) {
             zmq::message_t body;
-            if (!held->socket.recv(body, zmq::recv_flags::dontwait)) {
+            if (!owner->socket.recv(body, zmq::recv_flags::dontwait)) {
                 break;
             }
-            ++taken;
-            held->onMessage(textOf(body));
+            ++receivedCount;
+            owner->onMessage(toString(body));
         }
-        return taken > 0;
+        return receivedCount > 0;
     });
 }
 
@@ -137,13 +139,13 @@
 
 void message_client::reconnect()
 {
-    shared->socket.disconnect(shared->endpoint);
-    shared->socket.connect(shared->endpoint);
+    state->socket.disconnect(state->endpoint);
+    state->socket.connect(state->endpoint);
 }
 
 bool message_client::send(const std::string &message)
 {
-    return shared->socket.send(zmq::buffer(message), zmq::send_flags::dontwait).has_value();
+    return state->socket.send(zmq::buffer(message), zmq::send_flags::dontwait).has_value();
 }
 
 } // namespace filbert
--- a/modules/filbert_transport/message_socket.h
+++ b/modules/filbert_transport/message_socket.h
@@ -10,70 +10,81 @@
 
 namespace filbert {
 
-/** Keys of one process for CURVE; all empty = no encryption, which only loopback allows. */
+/** CURVE keys of a process. If all are empty, nothing is encrypted, which is allowed on loopback
+    only. */
 struct curve_keys
 {
     std::string publicKey; // Z85, 40 characters
     std::string secretKey;
-    std::string serverKey; // of the process that a message_client connects to
+    std::string serverKey; // public key of the server that a message_client connects to
 };
 
-/** The listening end: takes messages of many processes and answers them by name (ROUTER).
+/** The listening side of a message connection (ROUTER). It receives messages from many peers and
+    sends to each of them by its name.
 
-    Messages are whole or absent; they may be lost when a connection breaks, never cut or crossed.
+    A message may be lost when a connection breaks, but is never truncated or mixed with another.
 */
 class message_server
 {
 public:
-    using handler = std::function<void(const std::string &peer, std::string &&message)>;
+    using message_handler = std::function<void(const std::string &peer, std::string &&message)>;
 
-    /** @param loop      runs it; outlives it
-        @param context   of the process
-        @param endpoint  "tcp://IP:port"
-        @param keys      own keys; a curve_authenticator says who is let in
-        @param onMessage called for each message
+    /** @param loop       the event loop; must outlive the server
+        @param context    the ZeroMQ context of the process
+        @param endpoint   address to listen on, "tcp://IP:port"
+        @param keys       keys of this process; a curve_authenticator decides who may connect
+        @param onMessage  called for each message
     */
     message_server(event_loop &loop, zmq::context_t &context, const std::string &endpoint,
-                   const curve_keys &keys, handler onMessage);
+                   const curve_keys &keys, message_handler onMessage);
 
-    /** @param peer its name @param message the bytes @return false if it is not connected or its
-        queue is full; the message is gone then */
+    /** Sends a message.
+
+        @param peer     name of the peer
+        @param message  its bytes
+        @return false if the peer is not connected or its queue is full; the message is then
+                discarded
+    */
     bool send(const std::string &peer, const std::string &message);
 
 private:
-    bool drain();
+    bool receiveMessages();
 
     zmq::socket_t socket;
-    handler onMessage;
+    message_handler onMessage;
 };
 
-/** The connecting end: one peer (DEALER). A broken or silent connection is replaced by itself. */
+/** The connecting side of a message connection, to one server (DEALER). A broken or unresponsive
+    connection is replaced automatically. */
 class message_client
 {
 public:
-    using handler = std::function<void(std::string &&message)>;
+    using message_handler = std::function<void(std::string &&message)>;
 
-    /** @param name  how the server knows this process; unique among its peers
+    /** @param name  the name by which the server knows this process; unique among its peers
         @see message_server
     */
     message_client(event_loop &loop, zmq::context_t &context, const std::string &name,
-                   const std::string &endpoint, const curve_keys &keys, handler onMessage);
+                   const std::string &endpoint, const curve_keys &keys, message_handler onMessage);
 
-    /** Stops to listen to the loop's wakes. */
+    /** Stops receiving messages. */
     ~message_client();
     message_client(const message_client &) = delete;
     message_client &operator=(const message_client &) = delete;
 
-    /** @param message the bytes @return false if there is no connection or its queue is full */
+    /** Sends a message. @return false if there is no connection or its queue is full */
     bool send(const std::string &message);
 
-    /** Gives the connection up for a new one: use it as soon as the peer is silent, which the
-        connection's own heartbeats notice only seconds later. What was queued is gone. */
+    /** Replaces the connection by a new one and discards queued messages.
+
+        Call this as soon as the peer stops responding: the heartbeats of the connection itself
+        detect that only seconds later.
+    */
     void reconnect();
 
 private:
-    struct shared_socket;
-    std::shared_ptr<shared_socket> shared;
+    struct socket_state;
+    std::shared_ptr<socket_state> state;
 };
 
 } // namespace filbert
--- a/modules/filbert_transport/tests/http_test.cpp
+++ b/modules/filbert_transport/tests/http_test.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/** @return connections of this host to a port that both ends hold open */
-std::size_t establishedTo(int port)
+/** @return the number of established connections from this host to a port */
+std::size_t countEstablishedConnections(int port)
 {
     constexpr const char *established = "01";
     std::ifstream table {"/proc/self/net/tcp"};
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("the library is never told a negative time, however late a call is", "[transport]")
+TEST_CASE("the library timeout is positive even long after the deadline of a call", "[transport]")
 {
     const time_point now {100'000};
     for (const std::int64_t offset : {-50'000, -2'500, -1'000, 0, 1, 900, 60'000}) {
@@ -43,7 +43,7 @@
     }
 }
 
-TEST_CASE("a server on a port that is taken says that it does not listen", "[transport]")
+TEST_CASE("a server on a port in use reports that it is not listening", "[transport]")
 {
     event_loop loop;
     http_server first {loop, "127.0.0.1", 0, {}, {}, [](http_request &&) {}};
@@ -52,7 +52,7 @@
     CHECK_FALSE(second.isListening());
 }
 
-TEST_CASE("connections that no later call may use do not stay open", "[transport]")
+TEST_CASE("connections that no other call may reuse are closed", "[transport]")
 {
     constexpr int calls = 40;
     event_loop loop;
@@ -62,36 +62,36 @@
         [&](http_request &&request) { server->respond(request.id, http_response {}); });
     http_client client {loop, 1};
     int answered = 0;
-    std::function<void()> callOnce = [&] {
+    std::function<void()> startCall = [&] {
         http_call call;
         call.endpoint = "127.0.0.1:" + std::to_string(server->port());
         call.body = "{}";
         call.needsNewConnection = true;
-        client.send(std::move(call), [&](std::error_code error, http_response &&answer) {
+        client.send(std::move(call), [&](std::error_code error, http_response &&response) {
             CHECK(!error);
-            CHECK(answer.status == 200);
+            CHECK(response.status == 200);
             if (++answered < calls) {
-                callOnce();
+                startCall();
             } else {
                 loop.callAfter({50}, [&] { loop.stop(); });
             }
         });
     };
-    callOnce();
+    startCall();
     loop.run();
     CHECK(answered == calls);
-    CHECK(establishedTo(server->port()) <= 1);
+    CHECK(countEstablishedConnections(server->port()) <= 1);
 }
 
-TEST_CASE("after calls without an answer the next ones are answered, on kept connections too",
+TEST_CASE("after calls without an answer, later calls succeed, on idle connections too",
           "[transport]")
 {
     event_loop loop;
     std::unique_ptr<http_server> server;
-    bool isMute = true;
+    bool isUnresponsive = true;
     server = std::make_unique<http_server>(loop, "127.0.0.1", 0, http_limits {}, tls_files {},
                                            [&](http_request &&request) {
-                                               if (!isMute) {
+                                               if (!isUnresponsive) {
                                                    server->respond(request.id, http_response {});
                                                }
                                            });
@@ -110,12 +110,12 @@
         });
     };
     for (int i = 0; i < 4; ++i) {
-        call(); // two are sent, two wait behind them; none is answered
+        call(); // two are sent and two wait for a connection; none gets a response
     }
     loop.callAfter({600}, [&] {
         CHECK(ended == 4);
         CHECK(answered == 0);
-        isMute = false;
+        isUnresponsive = false;
         for (int i = 0; i < 4; ++i) {
             call();
         }
@@ -126,11 +126,13 @@
     CHECK(answered == 4);
 }
 
-TEST_CASE("a call over TLS waits as long as it was told, however busy the loop was as it went out",
+// libwebsockets restarts its own 5 s timeout when a request over TLS is sent completely, which may
+// be after the client set its longer one. Calls then failed before their deadline.
+TEST_CASE("a call over TLS waits for its whole timeout even if the loop is busy while it is sent",
           "[transport]")
 {
-    constexpr milliseconds libraryGivesUp {5'000};
-    constexpr int calls = 20; // of which about half were lost
+    constexpr milliseconds libraryTimeout {5'000};
+    constexpr int calls = 20; // the fault made about half of them fail
     const auto folder =
         std::filesystem::temp_directory_path() / ("filbert-http-" + std::to_string(getpid()));
     REQUIRE(!makeCertificates(folder, {{"host", "127.0.0.1"}}));
@@ -140,7 +142,7 @@
         loop, "127.0.0.1", 0, http_limits {},
         tls_files {(folder / "host.pem").string(), (folder / "host.key").string()},
         [&](http_request &&request) {
-            loop.callAfter(libraryGivesUp + milliseconds {1'500},
+            loop.callAfter(libraryTimeout + milliseconds {1'500},
                            [&, id = request.id] { server->respond(id, http_response {}); });
         });
     http_client client {loop, calls, true, (folder / "authority.pem").string()};
@@ -151,7 +153,7 @@
             http_call call;
             call.endpoint = "127.0.0.1:" + std::to_string(server->port());
             call.body = "{}";
-            call.timeout = libraryGivesUp * 3;
+            call.timeout = libraryTimeout * 3;
             client.send(std::move(call), [&](std::error_code error, http_response &&) {
                 answered += error ? 0 : 1;
                 if (++ended == calls) {
@@ -160,8 +162,8 @@
             });
         });
     }
-    // Each turn takes longer than the client waits between its looks at deadlines.
-    const auto busyUntil = monotonicNow() + libraryGivesUp;
+    // Each iteration takes longer than the interval at which the client checks deadlines.
+    const auto busyUntil = monotonicNow() + libraryTimeout;
     loop.callEvery({1}, [&] {
         if (monotonicNow() < busyUntil) {
             std::this_thread::sleep_for(std::chrono::milliseconds {60});
