--- a/modules/filbert_core/clock.cpp
+++ b/modules/filbert_core/clock.cpp
@@ -21,8 +21,8 @@
 
 std::uint64_t firstFreeId()
 {
-    constexpr int idBits = 20;
-    return static_cast<std::uint64_t>(wallClockMs()) << idBits;
+    constexpr int idBitsPerMillisecond = 20;
+    return static_cast<std::uint64_t>(wallClockMs()) << idBitsPerMillisecond;
 }
 
 std::int64_t wallClockMs()
--- a/modules/filbert_core/clock.h
+++ b/modules/filbert_core/clock.h
@@ -5,7 +5,7 @@
 
 namespace filbert {
 
-/** A span of time, in whole milliseconds. */
+/** A duration in whole milliseconds. */
 struct milliseconds
 {
     std::int64_t count = 0;
@@ -28,10 +28,10 @@
     return {a.count * factor};
 }
 
-/** A point on one clock, in milliseconds since that clock's own start.
+/** A point in time on one clock, in milliseconds since the start of that clock.
 
-    Points of different hosts' clocks are never compared with each other: only their rates are
-    trusted, within withClockRateMargin().
+    Never compare time points of the clocks of different hosts. Only the rates of these clocks are
+    assumed to agree, within the tolerance of withClockRateMargin().
 */
 struct time_point
 {
@@ -55,28 +55,37 @@
     return {a.ms - b.ms};
 }
 
-/** Stretches a lease by the most that two hosts' clock rates may differ (5 %).
+/** Extends a lease by the maximum difference between the clock rates of two hosts (5 %).
 
-    Whoever grants a lease waits this long before it takes the lease for ended; whoever holds it
-    counts the bare length.
+    The grantor of a lease waits for the extended time before it considers the lease expired; the
+    holder counts the granted time only.
 
-    @param lease  what was promised, in milliseconds
-    @return the time to wait, in milliseconds
+    @param lease  the granted time
+    @return the time that the grantor waits
 */
 constexpr milliseconds withClockRateMargin(milliseconds lease)
 {
     return {lease.count + lease.count / 20 + 1};
 }
 
-/** The host's monotonic clock, which goes on while the host is suspended: a lease must not outlive
-    a sleep. @return milliseconds since the host's start */
+/** Reads the monotonic clock of the host. It advances while the host is suspended, so that leases
+    expire during a suspension.
+
+    @return the time since the start of the host
+*/
 time_point monotonicNow();
 
-/** A number above all that earlier processes of this host got, with room for a million ids a
-    millisecond behind each: ids that start here are new. */
+/** The first id of a range that no earlier process of this host has used.
+
+    It is derived from the wall clock and leaves room for a million ids per millisecond.
+*/
 std::uint64_t firstFreeId();
 
-/** The host's wall clock, for the audit trail only. @return milliseconds since 1970, UTC */
+/** Reads the wall clock of the host, for the audit trail. It may be adjusted at any time and is
+    unsuitable for leases and timeouts.
+
+    @return milliseconds since 1970, UTC
+*/
 std::int64_t wallClockMs();
 
 } // namespace filbert
--- a/modules/filbert_core/error_kind.cpp
+++ b/modules/filbert_core/error_kind.cpp
@@ -12,35 +12,44 @@
 
 constexpr std::array errorTable {
     error_info {None, "none", 200, Ran, "no error"},
-    error_info {Malformed, "malformed", 400, NotRun, "the request cannot be read"},
+    error_info {Malformed, "malformed", 400, NotRun, "the request is malformed"},
     error_info {TooLarge, "too_large", 413, NotRun, "the request exceeds a size limit"},
     error_info {Unauthorized, "unauthorized", 401, NotRun,
-                "the key is missing, wrong or withdrawn"},
+                "the key is missing, invalid or revoked"},
     error_info {Forbidden, "forbidden", 403, NotRun, "the key does not allow this"},
-    error_info {NotFound, "not_found", 404, NotRun, "there is no such thing"},
-    error_info {MethodNotAllowed, "method_not_allowed", 405, NotRun, "use another method"},
-    error_info {Conflict, "conflict", 409, NotRun, "the base version is no longer the current one"},
-    error_info {LimitReached, "limit_reached", 429, NotRun, "team is at its upper limit"},
-    error_info {NoCapacity, "no_capacity", 503, NotRun, "no target had room in time"},
-    error_info {NeverFits, "never_fits", 422, NotRun, "no target could ever run this"},
-    error_info {Overloaded, "overloaded", 503, NotRun, "too much is waiting already"},
-    error_info {NoLeader, "no_leader", 503, NotRun, "no controller is leading at present"},
-    error_info {NotInForce, "not_in_force", 503, NotRun, "no current configuration on this host"},
+    error_info {NotFound, "not_found", 404, NotRun, "the requested item does not exist"},
+    error_info {MethodNotAllowed, "method_not_allowed", 405, NotRun,
+                "the HTTP method is not allowed here"},
+    error_info {Conflict, "conflict", 409, NotRun,
+                "the base version is no longer the current version"},
+    error_info {LimitReached, "limit_reached", 429, NotRun, "the team has reached its upper limit"},
+    error_info {NoCapacity, "no_capacity", 503, NotRun, "no target had free capacity in time"},
+    error_info {NeverFits, "never_fits", 422, NotRun,
+                "no target meets the requirements of the task"},
+    error_info {Overloaded, "overloaded", 503, NotRun, "too many requests are already waiting"},
+    error_info {NoLeader, "no_leader", 503, NotRun, "there is currently no leading controller"},
+    error_info {NotInForce, "not_in_force", 503, NotRun,
+                "no configuration is in force on this host"},
     error_info {Stopping, "stopping", 503, NotRun, "this process is shutting down"},
     error_info {DeadlineExceeded, "deadline_exceeded", 504, MayHaveRun,
-                "no answer by the deadline"},
-    error_info {TargetRefused, "target_refused", 503, NotRun, "the target did not start it"},
-    error_info {TargetLost, "target_lost", 502, MayHaveRun, "the target's answer was lost"},
+                "no response by the deadline"},
+    error_info {TargetRefused, "target_refused", 503, NotRun,
+                "the target refused to start the task"},
+    error_info {TargetLost, "target_lost", 502, MayHaveRun, "the response of the target was lost"},
     error_info {OutcomeUnknown, "outcome_unknown", 409, MayHaveRun,
-                "an earlier request with this key may have run"},
-    error_info {KeyReused, "key_reused", 422, NotRun, "the key came with another request before"},
-    error_info {StorageFailed, "storage_failed", 500, MayHaveRun, "writing or syncing failed"},
+                "an earlier request with this idempotency key may have run"},
+    error_info {KeyReused, "key_reused", 422, NotRun,
+                "the idempotency key was used with a different request"},
+    error_info {StorageFailed, "storage_failed", 500, MayHaveRun,
+                "writing to storage or syncing failed"},
     error_info {StorageDamaged, "storage_damaged", 500, NotRun, "stored data is damaged"},
-    error_info {FolderInUse, "folder_in_use", 500, NotRun, "another process has the data folder"},
-    error_info {DiskFull, "disk_full", 507, NotRun, "no room left in the data folder"},
-    error_info {Timeout, "timeout", 504, MayHaveRun, "no answer in time"},
-    error_info {ConnectionFailed, "connection_failed", 502, NotRun, "no connection was made"},
-    error_info {Internal, "internal", 500, MayHaveRun, "an unexpected failure"},
+    error_info {FolderInUse, "folder_in_use", 500, NotRun,
+                "the data folder is in use by another process"},
+    error_info {DiskFull, "disk_full", 507, NotRun, "no disk space left for the data folder"},
+    error_info {Timeout, "timeout", 504, MayHaveRun, "no response within the timeout"},
+    error_info {ConnectionFailed, "connection_failed", 502, NotRun,
+                "the connection could not be established"},
+    error_info {Internal, "internal", 500, MayHaveRun, "an internal error occurred"},
 };
 
 constexpr bool isTableOrdered()
@@ -53,7 +62,8 @@
     return errorTable.size() == static_cast<std::size_t>(Internal) + 1;
 }
 
-static_assert(isTableOrdered(), "one row for each kind, in the order of the kinds");
+static_assert(isTableOrdered(),
+              "errorTable needs one row per error_kind, in the order of the enumerators");
 
 class filbert_category : public std::error_category
 {
--- a/modules/filbert_core/error_kind.h
+++ b/modules/filbert_core/error_kind.h
@@ -5,7 +5,7 @@
 
 namespace filbert {
 
-/** Every way in which a call can fail; the list is closed. @see errorInfo */
+/** All errors that a call can report. @see errorInfo */
 enum class error_kind {
     None,
     Malformed,
@@ -36,14 +36,14 @@
     Internal,
 };
 
-/** What is certain about the work behind a failed call. */
+/** What is known about the requested work after a failed call. */
 enum class work_outcome {
     NotRun,
     MayHaveRun,
     Ran,
 };
 
-/** One row of the table from kind to answer. */
+/** How an error is reported to callers. */
 struct error_info
 {
     error_kind kind;
@@ -53,16 +53,16 @@
     std::string_view description;
 };
 
-/** The answer for a kind. @param kind any kind @return its row; never fails */
+/** @param kind any error @return how it is reported; values outside the list give Internal */
 const error_info &errorInfo(error_kind kind);
 
-/** @param outcome any value @return its name in answers, e.g. "not_run" */
+/** @param outcome any value @return its name in responses, e.g. "not_run" */
 std::string_view outcomeName(work_outcome outcome);
 
-/** Brings error_kind into std::error_code. @return the code of that kind */
+/** Converts an error_kind to a std::error_code; the standard library finds it by this name. */
 std::error_code make_error_code(error_kind kind); // NOLINT(readability-identifier-naming)
 
-/** The way back. @param code any code @return its kind; foreign codes are Internal */
+/** Converts a std::error_code back. Codes of other categories become Internal. */
 error_kind errorKindOf(const std::error_code &code);
 
 } // namespace filbert
--- a/modules/filbert_core/filbert_core.h
+++ b/modules/filbert_core/filbert_core.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /** @file
-    What every module needs: time, the closed list of errors, log lines, settings, invariants.
+    Basic types and services that every module uses: durations and clocks, the list of all errors
+    (error_kind), structured log lines, program settings and runtime-checked invariants.
 
     Depends on: gflags, glog.
 */
--- a/modules/filbert_core/invariant.cpp
+++ b/modules/filbert_core/invariant.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool &isThrowing()
+bool &throwsOnViolation()
 {
     static bool value = false;
     return value;
@@ -20,7 +20,7 @@
 
 void invariantViolated(std::string_view what, std::string_view where)
 {
-    if (isThrowing()) {
+    if (throwsOnViolation()) {
         throw std::logic_error {std::string {what} + " at " + std::string {where}};
     }
     log_line {"invariant_violated", log_line::severity::Error}
@@ -31,7 +31,7 @@
 
 void throwOnViolatedInvariant()
 {
-    isThrowing() = true;
+    throwsOnViolation() = true;
 }
 
 } // namespace filbert
--- a/modules/filbert_core/invariant.h
+++ b/modules/filbert_core/invariant.h
@@ -4,14 +4,15 @@
 
 namespace filbert {
 
-/** What happens when an invariant does not hold; throws in tests, ends the process otherwise.
+/** Handles a violated invariant: logs it and aborts the process, or throws std::logic_error after
+    throwOnViolatedInvariant().
 
-    @param what   the invariant, in words
-    @param where  file and line
+    @param what   description of the invariant
+    @param where  source file and line
 */
 [[noreturn]] void invariantViolated(std::string_view what, std::string_view where);
 
-/** Makes invariantViolated() throw std::logic_error, so that a test can expect it. */
+/** Makes invariantViolated() throw std::logic_error instead of aborting; for tests. */
 void throwOnViolatedInvariant();
 
 } // namespace filbert
@@ -19,7 +20,7 @@
 #define FILBERT_STRINGIFY_(x) #x
 #define FILBERT_STRINGIFY(x) FILBERT_STRINGIFY_(x)
 
-/** Asserts a promise of the product; checked in every build. */
+/** Checks an invariant at run time, in every build. @see invariantViolated */
 #define FILBERT_INVARIANT(condition, what)                                                         \
     do {                                                                                           \
         if (!(condition)) {                                                                        \
--- a/modules/filbert_core/log_line.cpp
+++ b/modules/filbert_core/log_line.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-bool isPlain(char c)
+bool needsNoQuotes(char c)
 {
     return c > ' ' && c != '"' && c != '=' && c != '\\' && c != 0x7f;
 }
@@ -35,14 +35,15 @@
     out << '"';
 }
 
-constexpr std::size_t gatheredBytes = 256 << 10; // a second of the most lines that are let through
+// Holds the lines of one second at the highest rate that is allowed.
+constexpr std::size_t maxBufferedBytes = 256 << 10;
 
-/** Hands glog's messages to an output_log. */
+/** Passes the messages of glog to an output_log. */
 class output_sink : public google::LogSink
 {
 public:
     explicit output_sink(int linesPerSecond)
-        : output {STDOUT_FILENO, linesPerSecond, gatheredBytes}
+        : output {STDOUT_FILENO, linesPerSecond, maxBufferedBytes}
     {
     }
 
@@ -87,7 +88,7 @@
 log_line &log_line::with(std::string_view key, std::string_view value)
 {
     text << ' ' << key << '=';
-    if (!value.empty() && std::all_of(value.begin(), value.end(), isPlain)) {
+    if (!value.empty() && std::all_of(value.begin(), value.end(), needsNoQuotes)) {
         text << value;
     } else {
         writeQuoted(text, value);
@@ -105,13 +106,13 @@
 void startStdoutLog(const char *program, int linesPerSecond)
 {
     for (int severity = 0; severity < google::NUM_SEVERITIES; ++severity) {
-        google::SetLogDestination(severity, ""); // no files
+        google::SetLogDestination(severity, ""); // no log files
     }
     FLAGS_stderrthreshold = google::NUM_SEVERITIES;
     google::InitGoogleLogging(program);
     outputSink = std::make_unique<output_sink>(linesPerSecond);
     google::AddLogSink(outputSink.get());
-    google::InstallFailureSignalHandler(); // a crash leaves its stack on standard error
+    google::InstallFailureSignalHandler(); // prints the stack to standard error on a crash
 }
 
 void flushLog()
--- a/modules/filbert_core/log_line.h
+++ b/modules/filbert_core/log_line.h
@@ -7,10 +7,11 @@
 
 namespace filbert {
 
-/** One event as one line of key=value pairs, written to the log when it goes out of scope.
+/** A structured log entry: an event with key=value pairs on a single line. It is written to the log
+    when the object goes out of scope.
 
-    Values with blanks, quotes or control characters are quoted, so that a line stays one line.
-    Never pass a secret.
+    Values with blanks, quotes, backslashes, equals signs or control characters are quoted, so that
+    an entry never spans several lines. Never pass secrets.
 
     @code log_line {"target_quarantined"}.with ("target", name).with ("failures", 5); @endcode
 */
@@ -49,21 +50,23 @@
     severity level;
 };
 
-/** Sets up the log: to standard error, one line an event. @param program name of the program */
+/** Starts logging to standard error. @param program name of the program */
 void startLog(const char *program);
 
-/** Sets up the log to standard output instead, bounded and never blocking.
+/** Starts logging to standard output, with limited volume and without ever blocking.
 
-    Lines are gathered and written by flushLog(). Where nobody reads them, or where there are more a
-    second than the bound, lines are left out and their number is logged.
-    @param linesPerSecond  the bound
+    Lines are buffered and written by flushLog(). If the reader is too slow or there are more
+    lines in a second than the limit, the excess lines are discarded and their number is logged.
+
+    @param program         name of the program
+    @param linesPerSecond  maximum number of lines per second
 */
 void startStdoutLog(const char *program, int linesPerSecond);
 
-/** Writes out what startStdoutLog() has gathered, as far as that goes without waiting. */
+/** Writes the lines buffered since startStdoutLog(), as far as possible without blocking. */
 void flushLog();
 
-/** Keeps all events below a program's end out of the log; for tests and benchmarks. */
+/** Suppresses all log entries except fatal ones; for tests and benchmarks. */
 void silenceLog();
 
 } // namespace filbert
--- a/modules/filbert_core/output_log.cpp
+++ b/modules/filbert_core/output_log.cpp
@@ -12,10 +12,10 @@
 
 } // namespace
 
-output_log::output_log(int descriptor, int linesPerSecond, std::size_t mostBytes)
+output_log::output_log(int descriptor, int linesPerSecond, std::size_t maxBytes)
     : descriptor {descriptor}
     , linesPerSecond {linesPerSecond}
-    , mostBytes {mostBytes}
+    , maxBytes {maxBytes}
 {
     fcntl(descriptor, F_SETFL, fcntl(descriptor, F_GETFL) | O_NONBLOCK);
 }
@@ -26,27 +26,28 @@
         secondStart = now;
         linesInSecond = 0;
     }
-    const bool hasRoom = gathered.size() + line.size() < mostBytes;
+    const bool hasRoom = buffer.size() + line.size() < maxBytes;
     if (!hasRoom || ++linesInSecond > linesPerSecond) {
-        ++dropped;
+        ++discardedCount;
         return;
     }
-    if (dropped > 0) {
-        gathered += "event=log_lines_left_out count=" + std::to_string(std::exchange(dropped, 0));
-        gathered += '\n';
+    if (discardedCount > 0) {
+        buffer +=
+            "event=log_lines_left_out count=" + std::to_string(std::exchange(discardedCount, 0));
+        buffer += '\n';
     }
-    gathered += line;
-    gathered += '\n';
+    buffer += line;
+    buffer += '\n';
 }
 
 void output_log::flush()
 {
-    while (!gathered.empty()) {
-        const auto written = write(descriptor, gathered.data(), gathered.size());
+    while (!buffer.empty()) {
+        const auto written = write(descriptor, buffer.data(), buffer.size());
         if (written <= 0) {
-            return; // nobody reads: what does not fit is left out and counted
+            return; // the reader is too slow; add() discards and counts lines that do not fit
         }
-        gathered.erase(0, static_cast<std::size_t>(written));
+        buffer.erase(0, static_cast<std::size_t>(written));
     }
 }
 
--- a/modules/filbert_core/output_log.h
+++ b/modules/filbert_core/output_log.h
@@ -8,32 +8,38 @@
 
 namespace filbert {
 
-/** Lines for a descriptor that may not take them: bounded in number and bytes, never waiting. */
+/** Buffers log lines for a file descriptor that may not accept them, without ever blocking. The
+    number of lines per second and the size of the buffer are limited. */
 class output_log
 {
 public:
-    /** @param descriptor  switched to non-blocking writes
-        @param linesPerSecond  more are left out
-        @param mostBytes  gathered while the descriptor takes nothing */
-    output_log(int descriptor, int linesPerSecond, std::size_t mostBytes);
+    /** @param descriptor      the output; set to non-blocking mode
+        @param linesPerSecond  maximum number of lines per second; further ones are discarded
+        @param maxBytes        size of the buffer; lines that do not fit are discarded
+    */
+    output_log(int descriptor, int linesPerSecond, std::size_t maxBytes);
 
-    /** @param line without its end @param now of any clock that rises */
+    /** Adds a line.
+
+        @param line  the text without a newline
+        @param now   time on any monotonic clock
+    */
     void add(std::string_view line, time_point now);
 
-    /** Writes what is gathered, as far as the descriptor takes it. */
+    /** Writes the buffered lines as far as the descriptor accepts them. */
     void flush();
 
-    /** @return lines that were left out and not yet reported */
-    std::size_t discardedLines() const { return dropped; }
+    /** @return the number of discarded lines that were not reported in the log yet */
+    std::size_t discardedLines() const { return discardedCount; }
 
 private:
     int descriptor;
     int linesPerSecond;
-    std::size_t mostBytes;
-    std::string gathered;
+    std::size_t maxBytes;
+    std::string buffer;
     time_point secondStart;
     int linesInSecond = 0;
-    std::size_t dropped = 0;
+    std::size_t discardedCount = 0;
 };
 
 } // namespace filbert
--- a/modules/filbert_core/settings.h
+++ b/modules/filbert_core/settings.h
@@ -5,54 +5,55 @@
 
 namespace filbert {
 
-/** Reads a program's settings: flags first, then environment variables for those not given.
+/** Reads the settings of a program from command-line flags and environment variables. A flag takes
+    precedence over its environment variable.
 
-    The variable of flag `data_folder` is `FILBERT_DATA_FOLDER`. An unknown flag ends the program.
+    The variable of the flag `data_folder` is `FILBERT_DATA_FOLDER`. An unknown flag ends the
+    program.
 
-    @param argc   as main() got it; what is not a flag stays
-    @param argv   as main() got it
-    @param usage  one paragraph for --help
-    @return what was wrong with values from the environment, one sentence each
+    @param argc   as passed to main(); arguments that are not flags remain
+    @param argv   as passed to main()
+    @param usage  text for --help, one paragraph
+    @return a message for each invalid value of an environment variable
 */
 std::vector<std::string> readSettings(int *argc, char ***argv, const std::string &usage);
 
-/** Collects what is wrong with the settings, so that all of it is named at once. */
+/** Collects all problems with the settings of a program, so that they are reported together. */
 class settings_check
 {
 public:
     explicit settings_check(std::vector<std::string> problems);
 
-    /** @param holds whether the setting is right @param problem what to say if it is not */
+    /** Adds a problem unless a condition holds. @param problem the message */
     void require(bool holds, const std::string &problem);
 
-    /** `IP:port`, both numeric. @param flag its name @param value its value */
+    /** Adds a problem unless a value is a numeric `IP:port`. @param flag name of the flag */
     void requireEndpoint(const std::string &flag, const std::string &value);
 
-    /** Logs each problem. @return true if there is none */
+    /** Logs all problems. @return whether there are none */
     bool isValid() const;
 
 private:
     std::vector<std::string> problems;
 };
 
-/** The parts of `IP:port`. */
+/** The components of an endpoint `IP:port`. */
 struct endpoint_parts
 {
     std::string address;
-    int port = 0; // 0 = none that can be read
+    int port = 0; // 0 = absent or invalid
 };
 
-/** @param endpoint  e.g. "127.0.0.1:8080"; isEndpoint() tells whether it is one */
+/** Splits an endpoint such as "127.0.0.1:8080" without validating it. @see isEndpoint */
 endpoint_parts splitEndpoint(const std::string &endpoint);
 
-/** Whether a text is an IPv4 address and a port. @param value e.g. "127.0.0.1:8080" */
+/** @return whether a value is an IPv4 address with a port, e.g. "127.0.0.1:8080" */
 bool isEndpoint(const std::string &value);
 
-/** Splits a comma-separated setting. @param value e.g. "a,b" @return the parts, empty ones left out
- */
+/** Splits a comma-separated setting. @param value e.g. "a,b" @return the non-empty items */
 std::vector<std::string> splitList(const std::string &value);
 
-/** Logs the flags of the program's own file. @param names flags that are not secret */
+/** Logs the values of flags. @param names the flags; must not include secret ones */
 void logSettings(const std::vector<std::string> &names);
 
 } // namespace filbert
--- a/modules/filbert_core/tests/output_log_test.cpp
+++ b/modules/filbert_core/tests/output_log_test.cpp
@@ -29,12 +29,12 @@
         close(write);
     }
 
-    std::string takeAll() const
+    std::string readAll() const
     {
         std::string all;
         char buffer[4096];
-        for (ssize_t got = 0; (got = ::read(read, buffer, sizeof buffer)) > 0;) {
-            all.append(buffer, static_cast<std::size_t>(got));
+        for (ssize_t received = 0; (received = ::read(read, buffer, sizeof buffer)) > 0;) {
+            all.append(buffer, static_cast<std::size_t>(received));
         }
         return all;
     }
@@ -42,7 +42,7 @@
 
 } // namespace
 
-TEST_CASE("lines that nobody reads are left out and counted, and nothing waits", "[log]")
+TEST_CASE("lines that nobody reads are discarded and counted without blocking", "[log]")
 {
     pipe_ends ends;
     output_log log {ends.write, 1'000'000, 8'192};
@@ -52,16 +52,16 @@
         log.flush();
     }
     CHECK(log.discardedLines() > 0);
-    ends.takeAll();
+    ends.readAll();
     log.flush();
     log.add("after", {2});
     log.flush();
-    const auto text = ends.takeAll();
+    const auto text = ends.readAll();
     CHECK(text.find("event=log_lines_left_out count=") != std::string::npos);
     CHECK(text.find("after\n") != std::string::npos);
 }
 
-TEST_CASE("no more lines a second are written than the bound", "[log]")
+TEST_CASE("lines beyond the limit per second are discarded", "[log]")
 {
     pipe_ends ends;
     output_log log {ends.write, 10, 65'536};
@@ -71,5 +71,5 @@
     CHECK(log.discardedLines() == 15);
     log.add("line", {1'200});
     log.flush();
-    CHECK(ends.takeAll().find("count=15") != std::string::npos);
+    CHECK(ends.readAll().find("count=15") != std::string::npos);
 }
