--- a/modules/filbert_messages/filbert_messages.h
+++ b/modules/filbert_messages/filbert_messages.h
@@ -1,10 +1,13 @@
 #pragma once
 
 /** @file
-    Every message as protobuf: between processes, in the replicated log, and as HTTP bodies.
+    All data formats of the product, defined with Protocol Buffers: the messages between processes,
+    the entries of the replicated log with its snapshots, and the bodies of HTTP requests and
+    responses, which are converted from and to JSON by readJson() and writeJson().
 
-    The generated files are committed; scripts/generate_messages.sh makes them anew.
-    Depends on: protobuf, nlohmann-json (a check that protobuf's reader does not make).
+    The generated files are committed; scripts/generate_messages.sh regenerates them.
+    Depends on: protobuf, nlohmann-json (it detects repeated fields, which protobuf's JSON parser
+    accepts).
 */
 
 #include "filbert.pb.h"
--- a/modules/filbert_messages/json.cpp
+++ b/modules/filbert_messages/json.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t maxDepth = 32;
 
-/** Looks for what the protobuf reader lets pass: fields that occur twice. */
+/** Detects repeated fields, which the JSON parser of protobuf accepts, and limits the nesting. */
 class repeated_field_check : public nlohmann::json_sax<nlohmann::json>
 {
 public:
@@ -29,35 +29,35 @@
 
     bool start_object(std::size_t) override // NOLINT(google-default-arguments)
     {
-        fields.emplace_back();
-        problem = fields.size() > maxDepth ? "less nesting" : problem;
-        return fields.size() <= maxDepth;
+        fieldNames.emplace_back();
+        problem = fieldNames.size() > maxDepth ? "less deeply nested JSON" : problem;
+        return fieldNames.size() <= maxDepth;
     }
 
     bool end_object() override
     {
-        fields.pop_back();
+        fieldNames.pop_back();
         return true;
     }
 
     bool key(string_t &name) override
     {
-        const bool isNew = fields.back().insert(name).second;
-        problem = isNew ? problem : "the field " + name + " only once";
+        const bool isNew = fieldNames.back().insert(name).second;
+        problem = isNew ? problem : "the field " + name + " to occur only once";
         return isNew;
     }
 
     bool parse_error(std::size_t position, const std::string &,
                      const nlohmann::detail::exception &) override
     {
-        problem = "JSON in UTF-8, at byte " + std::to_string(position);
+        problem = "valid JSON in UTF-8 at byte " + std::to_string(position);
         return false;
     }
 
     std::string problem;
 
 private:
-    std::vector<std::set<std::string>> fields; // of each open object
+    std::vector<std::set<std::string>> fieldNames; // names seen in each enclosing object or array
 };
 
 } // namespace
@@ -89,7 +89,7 @@
     options.preserve_proto_field_names = true;
     std::string text;
     const auto status = google::protobuf::util::MessageToJsonString(message, &text, options);
-    FILBERT_INVARIANT(status.ok(), "a message of ours can be written as JSON");
+    FILBERT_INVARIANT(status.ok(), "every message can be converted to JSON");
     return text;
 }
 
--- a/modules/filbert_messages/json.h
+++ b/modules/filbert_messages/json.h
@@ -7,18 +7,23 @@
 
 namespace filbert {
 
-/** Reads a JSON body strictly: unknown fields, wrong types, non-UTF-8, repeated fields and deep
-    nesting are errors.
+/** Parses a JSON body strictly: unknown fields, wrong types, invalid UTF-8, repeated fields and
+    deep nesting are errors.
 
-    @param body     the text
-    @param message  filled in on success
-    @param detail   on failure, what was expected and where
+    @param body     the JSON text
+    @param message  receives the content on success
+    @param detail   on failure, receives an explanation for a person
     @return error_kind::Malformed, or no error
 */
 std::error_code readJson(std::string_view body, google::protobuf::Message *message,
                          std::string *detail);
 
-/** @param message any message @return its JSON, with field names as in the .proto file */
+/** Converts a message to JSON, with the field names of the .proto file.
+
+    @param message     any message
+    @param isIndented  whether to add line breaks and indentation
+    @return the JSON text
+*/
 std::string writeJson(const google::protobuf::Message &message, bool isIndented = false);
 
 } // namespace filbert
--- a/modules/filbert_messages/tests/json_test.cpp
+++ b/modules/filbert_messages/tests/json_test.cpp
@@ -7,42 +7,43 @@
 
 namespace {
 
-bool isRead(const std::string &text)
+bool parsesAsSubmitBody(const std::string &text)
 {
     messages::submit_body body;
     std::string detail;
-    const bool isRight = !readJson(text, &body, &detail);
-    CHECK(isRight == detail.empty());
-    return isRight;
+    const bool isParsed = !readJson(text, &body, &detail);
+    CHECK(isParsed == detail.empty());
+    return isParsed;
 }
 
 } // namespace
 
-TEST_CASE("JSON is read strictly")
+TEST_CASE("JSON is parsed strictly")
 {
-    CHECK(isRead(R"({"queue":"a","task":{"milli_cores":5}})"));
-    CHECK_FALSE(isRead(R"({"queue":"a","queue":"b"})"));
-    CHECK_FALSE(isRead(R"({"task":{"milli_cores":5,"milli_cores":6}})"));
-    CHECK_FALSE(isRead(R"({"colour":1})"));
-    CHECK_FALSE(isRead(R"({"tasks":"many"})"));
-    CHECK_FALSE(isRead(R"({"queue":"a")"));
-    CHECK_FALSE(isRead("{\"queue\":\"\xff\"}"));
-    CHECK_FALSE(isRead(std::string(5'000, '[')));
-    CHECK_FALSE(isRead(""));
+    CHECK(parsesAsSubmitBody(R"({"queue":"a","task":{"milli_cores":5}})"));
+    CHECK_FALSE(parsesAsSubmitBody(R"({"queue":"a","queue":"b"})"));
+    CHECK_FALSE(parsesAsSubmitBody(R"({"task":{"milli_cores":5,"milli_cores":6}})"));
+    CHECK_FALSE(parsesAsSubmitBody(R"({"colour":1})"));
+    CHECK_FALSE(parsesAsSubmitBody(R"({"tasks":"many"})"));
+    CHECK_FALSE(parsesAsSubmitBody(R"({"queue":"a")"));
+    CHECK_FALSE(parsesAsSubmitBody("{\"queue\":\"\xff\"}"));
+    CHECK_FALSE(parsesAsSubmitBody(std::string(5'000, '[')));
+    CHECK_FALSE(parsesAsSubmitBody(""));
 }
 
-TEST_CASE("any message is read back as it was written, and any bytes end in a clear answer")
+TEST_CASE(
+    "messages survive the conversion to JSON and back, and invalid input gives an explanation")
 {
-    checkProperty([](const std::string &noise, int tasks, bool idempotent) {
+    checkProperty([](const std::string &randomText, int tasks, bool idempotent) {
         messages::submit_body body;
         body.set_queue("q");
         body.set_tasks(tasks);
         body.set_idempotent(idempotent);
-        messages::submit_body again;
+        messages::submit_body parsed;
         std::string detail;
-        RC_ASSERT(!readJson(writeJson(body), &again, &detail));
-        RC_ASSERT(again.SerializeAsString() == body.SerializeAsString());
-        const bool isRefused = static_cast<bool>(readJson(noise, &again, &detail));
-        RC_ASSERT(isRefused == !detail.empty());
+        RC_ASSERT(!readJson(writeJson(body), &parsed, &detail));
+        RC_ASSERT(parsed.SerializeAsString() == body.SerializeAsString());
+        const bool isRejected = static_cast<bool>(readJson(randomText, &parsed, &detail));
+        RC_ASSERT(isRejected == !detail.empty());
     });
 }
