--- a/programs/ctl_answers.cpp
+++ b/programs/ctl_answers.cpp
@@ -3,23 +3,23 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_string(output, "text", "text or json");
+DEFINE_string(output, "text", "output format: text or json");
 
 namespace filbert {
 
-int report(const gateway_answer &answer)
+int reportFailure(const gateway_response &response)
 {
-    if (answer.error) {
-        std::cerr << "no gateway answered: " << answer.error.message() << "\n";
+    if (response.error) {
+        std::cerr << "no gateway answered: " << response.error.message() << "\n";
         return exitNoGateway;
     }
-    if (answer.status < 300) {
-        return exitDone;
+    if (response.status < 300) {
+        return exitSuccess;
     }
     messages::problem problem;
     std::string detail;
-    if (readJson(answer.body, &problem, &detail)) {
-        std::cerr << "status " << answer.status << ": " << answer.body << "\n";
+    if (readJson(response.body, &problem, &detail)) {
+        std::cerr << "status " << response.status << ": " << response.body << "\n";
         return exitRefused;
     }
     std::cerr << problem.kind() << " (" << problem.outcome() << "): " << problem.title();
@@ -37,22 +37,22 @@
 
 int fetch(const std::string &path, google::protobuf::Message *message)
 {
-    const auto answer = askGateway("GET", path, "", {});
-    if (const int code = report(answer)) {
+    const auto response = sendRequest("GET", path, "", {});
+    if (const int code = reportFailure(response)) {
         return code;
     }
     std::string detail;
-    if (readJson(answer.body, message, &detail)) {
-        std::cerr << "an answer that cannot be read: " << detail << "\n";
+    if (readJson(response.body, message, &detail)) {
+        std::cerr << "cannot parse the gateway's response: " << detail << "\n";
         return exitRefused;
     }
-    return exitDone;
+    return exitSuccess;
 }
 
 int printJson(const google::protobuf::Message &message)
 {
     std::cout << writeJson(message, true);
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace filbert
--- a/programs/ctl_keys.cpp
+++ b/programs/ctl_keys.cpp
@@ -12,34 +12,36 @@
 
 namespace {
 
-/** Writes one site file for each process; who has an address is a controller. */
-int makeSite(const words &arguments)
+/** Writes one site file for each process. A process with an address is a controller; any other is a
+    client of the controllers, such as a gateway.
+*/
+int writeSiteFiles(const argument_list &arguments)
 {
-    struct site_member
+    struct site_process
     {
         std::string name;
         std::string address;
         curve_key_pair keys;
     };
-    std::vector<site_member> members;
+    std::vector<site_process> processes;
     for (std::size_t i = 2; i < arguments.size(); ++i) {
-        const auto equals = arguments[i].find('=');
+        const auto separator = arguments[i].find('=');
         const auto address =
-            equals == std::string::npos ? std::string {} : arguments[i].substr(equals + 1);
-        if (equals != std::string::npos && !isEndpoint(address)) {
-            std::cerr << "expected CONTROLLER=IP:PORT or GATEWAY, found " << arguments[i] << "\n";
+            separator == std::string::npos ? std::string {} : arguments[i].substr(separator + 1);
+        if (separator != std::string::npos && !isEndpoint(address)) {
+            std::cerr << "expected CONTROLLER=IP:PORT or GATEWAY, got " << arguments[i] << "\n";
             return exitUsage;
         }
-        members.push_back({arguments[i].substr(0, equals), address, generateCurveKeyPair()});
+        processes.push_back({arguments[i].substr(0, separator), address, generateCurveKeyPair()});
     }
     std::filesystem::create_directories(arguments[1]);
-    for (const auto &self : members) {
+    for (const auto &self : processes) {
         const auto path = arguments[1] + "/" + self.name + ".site";
         std::ofstream file {path};
         std::filesystem::permissions(
             path, std::filesystem::perms::owner_read | std::filesystem::perms::owner_write);
         file << "self " << self.keys.publicKey << " " << self.keys.secretKey << "\n";
-        for (const auto &other : members) {
+        for (const auto &other : processes) {
             if (!other.address.empty()) {
                 file << "controller " << other.address << " " << other.keys.publicKey << "\n";
             }
@@ -53,59 +55,63 @@
         }
         std::cout << path << "\n";
     }
-    return exitDone;
+    return exitSuccess;
 }
 
-/** Writes TLS files for hosts, with an authority of the site's own. */
-int makeTlsFiles(const words &arguments)
+/** Writes a certificate and a private key for each host, and those of the site's own authority that
+    signs them.
+*/
+int writeTlsFiles(const argument_list &arguments)
 {
     std::vector<host_certificate> hosts;
     for (std::size_t i = 2; i < arguments.size(); ++i) {
-        const auto equals = arguments[i].find('=');
-        if (equals == std::string::npos || !isEndpoint(arguments[i].substr(equals + 1) + ":1")) {
-            std::cerr << "expected HOST=IP, found " << arguments[i] << "\n";
+        const auto separator = arguments[i].find('=');
+        if (separator == std::string::npos
+            || !isEndpoint(arguments[i].substr(separator + 1) + ":1")) {
+            std::cerr << "expected HOST=IP, got " << arguments[i] << "\n";
             return exitUsage;
         }
-        hosts.push_back({arguments[i].substr(0, equals), arguments[i].substr(equals + 1)});
+        hosts.push_back({arguments[i].substr(0, separator), arguments[i].substr(separator + 1)});
     }
     if (const auto error = makeCertificates(arguments[1], hosts)) {
-        std::cerr << "cannot make the files in " << arguments[1] << ": " << error.message() << "\n";
+        std::cerr << "cannot create the TLS files in " << arguments[1] << ": " << error.message()
+                  << "\n";
         return exitRefused;
     }
     std::cout << arguments[1] << "/authority.pem\n";
     for (const auto &host : hosts) {
         std::cout << arguments[1] << "/" << host.name << ".pem\n";
     }
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace
 
-int makeKeys(const words &arguments)
+int makeKeys(const argument_list &arguments)
 {
     if (arguments.size() > 2 && arguments[0] == "site") {
-        return makeSite(arguments);
+        return writeSiteFiles(arguments);
     }
     if (arguments.size() > 2 && arguments[0] == "tls") {
-        return makeTlsFiles(arguments);
+        return writeTlsFiles(arguments);
     }
     if (arguments.size() != 2 || arguments[0] != "make") {
         std::cerr << "expected: keys make ID | keys site FOLDER CONTROLLER=IP:PORT... GATEWAY..."
                      " | keys tls FOLDER HOST=IP...\n";
         return exitUsage;
     }
-    const auto made = generateKey(arguments[1]);
+    const auto key = generateKey(arguments[1]);
     if (isJson()) {
-        std::cout << R"({"token":")" << made.token << R"(","stored":)" << writeJson(made.storedKey)
+        std::cout << R"({"token":")" << key.token << R"(","stored":)" << writeJson(key.storedKey)
                   << "}\n";
-        return exitDone;
+        return exitSuccess;
     }
-    std::cout << "token: " << made.token << "\n"
-              << "stored: {id: " << made.storedKey.id() << ", salt: " << made.storedKey.salt()
-              << ", hash: " << made.storedKey.hash() << "}\n"
-              << "bootstrap: " << made.storedKey.id() << ":" << made.storedKey.salt() << ":"
-              << made.storedKey.hash() << "\n";
-    return exitDone;
+    std::cout << "token: " << key.token << "\n"
+              << "stored: {id: " << key.storedKey.id() << ", salt: " << key.storedKey.salt()
+              << ", hash: " << key.storedKey.hash() << "}\n"
+              << "bootstrap: " << key.storedKey.id() << ":" << key.storedKey.salt() << ":"
+              << key.storedKey.hash() << "\n";
+    return exitSuccess;
 }
 
 } // namespace filbert
--- a/programs/ctl_members.cpp
+++ b/programs/ctl_members.cpp
@@ -9,7 +9,7 @@
 #include <iostream>
 #include <thread>
 
-DEFINE_string(identity, "", "identity of a controller, as its --initialise printed it");
+DEFINE_string(identity, "", "identity of a controller, as printed by its --initialise");
 DEFINE_string(member_name, "", "name of a controller");
 DECLARE_int32(wait_ms);
 
@@ -31,92 +31,94 @@
                   << (member.learner() ? " learner" : " voter")
                   << (member.identity() == status.leader() ? " leader" : "") << "\n";
     }
-    return exitDone;
+    return exitSuccess;
 }
 
-gateway_answer askToAdd(const std::string &address)
+gateway_response addMember(const std::string &address)
 {
     messages::member_change change;
     change.set_action("add");
     change.mutable_member()->set_address("tcp://" + address);
     change.mutable_member()->set_identity(FLAGS_identity);
     change.mutable_member()->set_name(FLAGS_member_name);
-    return askGateway("POST", "/v1/members", writeJson(change), {});
+    return sendRequest("POST", "/v1/members", writeJson(change), {});
 }
 
-gateway_answer askToRemove(const std::string &identity)
+gateway_response removeMember(const std::string &identity)
 {
     messages::member_change change;
     change.set_action("remove");
     change.mutable_member()->set_identity(identity);
-    return askGateway("POST", "/v1/members", writeJson(change), {});
+    return sendRequest("POST", "/v1/members", writeJson(change), {});
 }
 
-/** What is still to be done of a replacement, as the members are now. */
-enum class replacement_step { Add, AwaitVoter, Remove, Done };
+/** The next action of a replacement, determined by the current membership. */
+enum class replacement_action { Add, AwaitVoter, Remove, Done };
 
-replacement_step nextStep(const messages::membership &members, const std::string &old)
+replacement_action nextAction(const messages::membership &members, const std::string &oldIdentity)
 {
-    const auto find = [&](const std::string &identity) {
+    const auto findMember = [&](const std::string &identity) {
         return std::find_if(members.members().begin(), members.members().end(),
                             [&](const auto &each) { return each.identity() == identity; });
     };
-    const auto added = find(FLAGS_identity);
-    if (added == members.members().end()) {
-        return replacement_step::Add;
+    const auto newMember = findMember(FLAGS_identity);
+    if (newMember == members.members().end()) {
+        return replacement_action::Add;
     }
-    if (added->learner()) {
-        return replacement_step::AwaitVoter;
+    if (newMember->learner()) {
+        return replacement_action::AwaitVoter;
     }
-    return find(old) == members.members().end() ? replacement_step::Done : replacement_step::Remove;
+    return findMember(oldIdentity) == members.members().end() ? replacement_action::Done
+                                                              : replacement_action::Remove;
 }
 
-/** Adds the new member, waits until it votes, then removes the old one: at no time are there fewer
-    copies than before. Each look starts from the members as they are, so a command that was cut off
-    anywhere goes on when it is given again.
+/** Adds the new member, waits until it votes, then removes the old one, so that there are never
+    fewer copies of the log than before. Each iteration starts from the current membership, so a
+    command that was interrupted at any point continues when it is run again.
 */
-int replaceMember(const std::string &old, const std::string &address)
+int replaceMember(const std::string &oldIdentity, const std::string &address)
 {
-    const auto until = monotonicNow() + milliseconds {FLAGS_wait_ms};
-    auto last = replacement_step::Done;
-    while (monotonicNow() < until) {
+    const auto deadline = monotonicNow() + milliseconds {FLAGS_wait_ms};
+    auto lastAction = replacement_action::Done;
+    while (monotonicNow() < deadline) {
         messages::status_reply status;
-        if (fetch("/v1/members", &status) == exitDone) {
-            const auto step = nextStep(status.members(), old);
-            if (step == replacement_step::Done) {
-                std::cout << old << " is replaced by " << FLAGS_identity << "\n";
-                return exitDone;
+        if (fetch("/v1/members", &status) == exitSuccess) {
+            const auto action = nextAction(status.members(), oldIdentity);
+            if (action == replacement_action::Done) {
+                std::cout << oldIdentity << " is replaced by " << FLAGS_identity << "\n";
+                return exitSuccess;
             }
-            if (step != last && step == replacement_step::AwaitVoter) {
-                std::cerr << FLAGS_identity << " learns\n";
+            if (action != lastAction && action == replacement_action::AwaitVoter) {
+                std::cerr << FLAGS_identity << " is catching up with the log\n";
             }
-            last = step;
-            if (step == replacement_step::Add) {
-                report(askToAdd(address));
-            } else if (step == replacement_step::Remove) {
-                report(askToRemove(old));
+            lastAction = action;
+            if (action == replacement_action::Add) {
+                reportFailure(addMember(address));
+            } else if (action == replacement_action::Remove) {
+                reportFailure(removeMember(oldIdentity));
             }
         }
         std::this_thread::sleep_for(std::chrono::milliseconds {pollMs});
     }
-    std::cerr << "not finished; give the same command again to go on\n";
+    std::cerr << "timed out before the replacement was complete; run the same command again to "
+                 "continue\n";
     return exitUnknown;
 }
 
 } // namespace
 
-int runMembers(const words &arguments)
+int runMembers(const argument_list &arguments)
 {
     if (arguments.empty() || arguments[0] == "list") {
         return listMembers();
     }
     const auto &action = arguments[0];
     if (action == "remove" && arguments.size() == 2) {
-        return report(askToRemove(arguments[1]));
+        return reportFailure(removeMember(arguments[1]));
     }
     const bool hasIdentity = !FLAGS_identity.empty() && isEndpoint(arguments.back());
     if (action == "add" && arguments.size() == 2 && hasIdentity) {
-        return report(askToAdd(arguments[1]));
+        return reportFailure(addMember(arguments[1]));
     }
     if (action == "replace" && arguments.size() == 3 && hasIdentity) {
         return replaceMember(arguments[1], arguments[2]);
--- a/programs/ctl_status.cpp
+++ b/programs/ctl_status.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-void printResources(const messages::resources &r)
+void printResources(const messages::resources &resources)
 {
-    std::cout << r.milli_cores() << " mcores " << r.memory_mb() << " MB " << r.accelerators()
-              << " acc " << r.slots() << " tasks";
+    std::cout << resources.milli_cores() << " mcores " << resources.memory_mb() << " MB "
+              << resources.accelerators() << " acc " << resources.slots() << " tasks";
 }
 
 } // namespace
 
-int showStatus(const words & /*arguments*/)
+int showStatus(const argument_list & /*arguments*/)
 {
     messages::status_reply status;
     if (const int code = fetch("/v1/status", &status)) {
@@ -56,10 +56,10 @@
         std::cout << std::left << std::setw(15) << gateway.name() << " " << gateway.version()
                   << "\n";
     }
-    return exitDone;
+    return exitSuccess;
 }
 
-int showAudit(const words & /*arguments*/)
+int showAudit(const argument_list & /*arguments*/)
 {
     messages::status_reply status;
     if (const int code = fetch("/v1/audit", &status)) {
@@ -73,7 +73,7 @@
                   << " version " << record.version() << " digest " << record.digest() << " "
                   << record.outcome() << ": " << record.summary() << "\n";
     }
-    return exitDone;
+    return exitSuccess;
 }
 
 } // namespace filbert
--- a/programs/ctl_work.cpp
+++ b/programs/ctl_work.cpp
@@ -8,25 +8,26 @@
 #include <iostream>
 #include <thread>
 
-DEFINE_int32(wait_ms, 30'000, "longest time to wait");
-DEFINE_string(body, "", "body of a request");
-DEFINE_string(idempotency_key, "", "the request runs at most once under this key");
-DEFINE_int32(deadline_ms, 0, "deadline of a request; 0 = the service's own");
-DEFINE_string(queue, "", "queue of a job");
-DEFINE_string(service, "", "service whose targets run a job");
-DEFINE_string(job_name, "", "name of a job, for learning its size");
-DEFINE_int32(tasks, 1, "tasks of a job");
-DEFINE_int32(milli_cores, 1'000, "of one task");
-DEFINE_int32(memory_mb, 512, "of one task");
-DEFINE_int32(accelerators, 0, "of one task");
-DEFINE_bool(idempotent, false, "the job's tasks may run again after a failure");
-DEFINE_string(payload, "", "what a job's tasks are given");
+DEFINE_int32(wait_ms, 30'000, "maximum time that a command waits, in milliseconds");
+DEFINE_string(body, "", "body of the request");
+DEFINE_string(idempotency_key, "", "key under which the request runs at most once");
+DEFINE_int32(deadline_ms, 0,
+             "deadline of the request in milliseconds; 0 = the deadline of the service");
+DEFINE_string(queue, "", "queue of the job");
+DEFINE_string(service, "", "service whose targets run the job");
+DEFINE_string(job_name, "", "name of the job; its resource needs are learned under this name");
+DEFINE_int32(tasks, 1, "number of tasks of the job");
+DEFINE_int32(milli_cores, 1'000, "thousandths of a CPU core per task");
+DEFINE_int32(memory_mb, 512, "memory per task, in MB");
+DEFINE_int32(accelerators, 0, "accelerators per task");
+DEFINE_bool(idempotent, false, "whether the job's tasks may run again after a failure");
+DEFINE_string(payload, "", "payload that is passed to each of the job's tasks");
 
 namespace filbert {
 
 namespace {
 
-std::vector<http_header> workHeaders()
+std::vector<http_header> requestHeaders()
 {
     std::vector<http_header> headers;
     if (!FLAGS_idempotency_key.empty()) {
@@ -46,33 +47,33 @@
               << job.unknown() << " unknown\n";
 }
 
-int changeJob(const std::string &method, const words &arguments, const std::string &suffix)
+int changeJob(const std::string &method, const argument_list &arguments, const std::string &suffix)
 {
     if (arguments.size() != 1) {
-        std::cerr << "expected the number of a job\n";
+        std::cerr << "expected: the id of one job\n";
         return exitUsage;
     }
-    return report(askGateway(method, "/v1/jobs/" + arguments[0] + suffix, "", {}));
+    return reportFailure(sendRequest(method, "/v1/jobs/" + arguments[0] + suffix, "", {}));
 }
 
 } // namespace
 
-int callService(const words &arguments)
+int callService(const argument_list &arguments)
 {
     if (arguments.size() != 1) {
         std::cerr << "expected: call SERVICE\n";
         return exitUsage;
     }
-    const auto answer =
-        askGateway("POST", "/v1/services/" + arguments[0], FLAGS_body, workHeaders());
-    if (const int code = report(answer)) {
+    const auto response =
+        sendRequest("POST", "/v1/services/" + arguments[0], FLAGS_body, requestHeaders());
+    if (const int code = reportFailure(response)) {
         return code;
     }
-    std::cout << answer.body << "\n";
-    return exitDone;
+    std::cout << response.body << "\n";
+    return exitSuccess;
 }
 
-int submitJob(const words & /*arguments*/)
+int submitJob(const argument_list & /*arguments*/)
 {
     messages::submit_body body;
     body.set_queue(FLAGS_queue);
@@ -84,25 +85,25 @@
     body.mutable_task()->set_accelerators(FLAGS_accelerators);
     body.set_idempotent(FLAGS_idempotent);
     body.set_payload(FLAGS_payload);
-    const auto answer = askGateway("POST", "/v1/jobs", writeJson(body), workHeaders());
-    if (const int code = report(answer)) {
+    const auto response = sendRequest("POST", "/v1/jobs", writeJson(body), requestHeaders());
+    if (const int code = reportFailure(response)) {
         return code;
     }
     messages::job_reply reply;
     std::string detail;
-    readJson(answer.body, &reply, &detail);
+    readJson(response.body, &reply, &detail);
     if (isJson()) {
         return printJson(reply);
     }
     std::cout << reply.job().id() << "\n";
-    return exitDone;
+    return exitSuccess;
 }
 
-int showJob(const words &arguments)
+int showJob(const argument_list &arguments)
 {
     messages::job_status job;
     if (arguments.size() != 1) {
-        std::cerr << "expected the number of a job\n";
+        std::cerr << "expected: the id of one job\n";
         return exitUsage;
     }
     if (const int code = fetch("/v1/jobs/" + arguments[0], &job)) {
@@ -116,13 +117,13 @@
         std::cout << "  " << job.reason() << "\n";
     }
     if (job.position() > 0) {
-        std::cout << "  place " << job.position() << " in its team's line, for " << job.waiting_ms()
-                  << " ms\n";
+        std::cout << "  position " << job.position() << " among its team's waiting jobs, for "
+                  << job.waiting_ms() << " ms\n";
     }
-    return exitDone;
+    return exitSuccess;
 }
 
-int listJobs(const words & /*arguments*/)
+int listJobs(const argument_list & /*arguments*/)
 {
     messages::job_list list;
     if (const int code = fetch("/v1/jobs", &list)) {
@@ -134,14 +135,14 @@
     for (const auto &job : list.jobs()) {
         printJob(job);
     }
-    return exitDone;
+    return exitSuccess;
 }
 
-int waitJob(const words &arguments)
+int waitJob(const argument_list &arguments)
 {
-    const auto until = monotonicNow() + milliseconds {FLAGS_wait_ms};
-    std::string last;
-    while (arguments.size() == 1 && monotonicNow() < until) {
+    const auto deadline = monotonicNow() + milliseconds {FLAGS_wait_ms};
+    std::string lastLine;
+    while (arguments.size() == 1 && monotonicNow() < deadline) {
         messages::job_status job;
         const int code = fetch("/v1/jobs/" + arguments[0], &job);
         if (code == exitRefused) {
@@ -149,33 +150,33 @@
         }
         const auto line =
             job.state() + " " + std::to_string(job.succeeded()) + "/" + std::to_string(job.tasks());
-        if (line != last && code == exitDone) {
+        if (line != lastLine && code == exitSuccess) {
             std::cerr << line << "\n";
-            last = line;
+            lastLine = line;
         }
-        const bool hasEnded = code == exitDone && job.waiting() == 0 && job.running() == 0;
+        const bool hasEnded = code == exitSuccess && job.waiting() == 0 && job.running() == 0;
         if (hasEnded) {
             printJob(job);
-            return job.state() == "succeeded" ? exitDone
+            return job.state() == "succeeded" ? exitSuccess
                                               : (job.unknown() > 0 ? exitUnknown : exitRefused);
         }
         std::this_thread::sleep_for(std::chrono::milliseconds {pollMs});
     }
-    std::cerr << "not ended\n";
+    std::cerr << "timed out before the job ended\n";
     return exitUnknown;
 }
 
-int cancelJob(const words &arguments)
+int cancelJob(const argument_list &arguments)
 {
     return changeJob("DELETE", arguments, "");
 }
 
-int holdJob(const words &arguments)
+int holdJob(const argument_list &arguments)
 {
     return changeJob("POST", arguments, "/hold");
 }
 
-int releaseJob(const words &arguments)
+int releaseJob(const argument_list &arguments)
 {
     return changeJob("POST", arguments, "/release");
 }
--- a/programs/filbert_controller.cpp
+++ b/programs/filbert_controller.cpp
@@ -1,4 +1,4 @@
-/** @file filbert-controller: one member of the replicated log; its leader decides placements. */
+/** @file filbert-controller: one member of the replicated log, whose leader decides placements. */
 
 #include "filbert_controller/filbert_controller.h"
 #include "filbert_controller/controller_metrics.h"
@@ -9,22 +9,22 @@
 #include <iostream>
 #include <memory>
 
-DEFINE_string(name, "", "name of this controller, for logs");
-DEFINE_string(data_folder, "", "folder of this controller's own files");
-DEFINE_string(listen, "127.0.0.1:7100", "IP:port for messages of gateways and other controllers");
+DEFINE_string(name, "", "name of this controller, used in logs");
+DEFINE_string(data_folder, "", "folder for this controller's files");
+DEFINE_string(listen, "127.0.0.1:7100", "IP:port that gateways and other controllers connect to");
 DEFINE_string(
     advertise, "",
-    "IP:port that others reach --listen at, kept with --initialise=first; empty = --listen");
+    "IP:port at which others reach --listen, stored by --initialise=first; empty = --listen");
 DEFINE_string(http, "127.0.0.1:7101", "IP:port for /healthz, /readyz and /metrics");
-DEFINE_string(curve_site, "", "file of CURVE keys; empty = no encryption, loopback only");
+DEFINE_string(curve_site, "", "file with CURVE keys; empty = no encryption, loopback only");
 DEFINE_string(initialise, "",
-              "make the data folder and end: 'first' for the first controller of a new cell, "
-              "'member' for one that is added later");
-DEFINE_int32(election_timeout_ms, 500, "shortest time without a leader before an election");
-DEFINE_int32(heartbeat_ms, 100, "time between a leader's heartbeats");
-DEFINE_int32(snapshot_entries, 50'000, "log entries between snapshots");
-DEFINE_int32(target_lease_ms, 4'000, "how long a target may run work without being heard");
-DEFINE_int32(stop_ms, 5'000, "longest time that a planned stop may take");
+              "create the data folder and exit: 'first' for the first controller of a new cell, "
+              "'member' for a controller that is added later");
+DEFINE_int32(election_timeout_ms, 500, "minimum time without a leader before an election, in ms");
+DEFINE_int32(heartbeat_ms, 100, "interval between a leader's heartbeats, in ms");
+DEFINE_int32(snapshot_entries, 50'000, "number of log entries between snapshots");
+DEFINE_int32(target_lease_ms, 4'000, "time for which a target may run work without contact, in ms");
+DEFINE_int32(stop_ms, 5'000, "maximum duration of a graceful stop, in ms");
 
 namespace filbert {
 
@@ -32,11 +32,11 @@
 
 constexpr std::size_t identityBytes = 8;
 constexpr milliseconds tickPeriod {10};
-constexpr milliseconds silenceTimeout {400}; // four heartbeats
+constexpr milliseconds silenceTimeout {400}; // four heartbeats at the default --heartbeat_ms
 constexpr int exitInvalidSettings = 2;
 constexpr int exitStorage = 3;
 
-/** Carries a controller's messages over ZeroMQ. */
+/** Sends a controller's messages over ZeroMQ. */
 class socket_outbox : public controller_outbox
 {
 public:
@@ -97,7 +97,7 @@
     return 0;
 }
 
-bool areSettingsRight(std::vector<std::string> problems)
+bool areSettingsValid(std::vector<std::string> problems)
 {
     settings_check check {std::move(problems)};
     check.require(!FLAGS_name.empty(), "--name: expected a name");
@@ -107,10 +107,11 @@
     check.require(FLAGS_advertise.empty() || isEndpoint(FLAGS_advertise),
                   "--advertise: expected IP:port");
     curve_site site;
-    check.require(!readCurveSite(FLAGS_curve_site, &site),
-                  "--curve_site: expected a readable file of 'self', 'controller', 'allow' lines");
+    check.require(
+        !readCurveSite(FLAGS_curve_site, &site),
+        "--curve_site: expected a readable file with 'self', 'controller' and 'allow' lines");
     check.require(site.isEncrypted() || FLAGS_listen.starts_with("127."),
-                  "--curve_site: expected, since --listen is not on loopback");
+                  "--curve_site: required because --listen is not a loopback address");
     check.require(FLAGS_initialise.empty() || FLAGS_initialise == "first"
                       || FLAGS_initialise == "member",
                   "--initialise: expected 'first' or 'member'");
@@ -121,25 +122,25 @@
     return check.isValid();
 }
 
-void answerHealth(http_server &server, const http_request &request, const controller &running,
-                  const std::string &identity)
+void handleHealthRequest(http_server &server, const http_request &request,
+                         const controller &controllerInstance, const std::string &identity)
 {
-    http_response answer;
-    answer.contentType = "text/plain";
-    const auto &log = running.view().log;
+    http_response response;
+    response.contentType = "text/plain";
+    const auto &log = controllerInstance.view().log;
     if (request.path == "/metrics") {
-        answer.body = controllerMetricsText(running.view());
+        response.body = controllerMetricsText(controllerInstance.view());
     } else if (request.path == "/healthz" || request.path == "/readyz") {
         const bool hasLeader = !log.leader.empty();
-        answer.status = request.path == "/healthz" || hasLeader ? 200 : 503;
-        answer.body = "identity " + identity + "\nrole " + std::string {roleName(log.role)}
+        response.status = request.path == "/healthz" || hasLeader ? 200 : 503;
+        response.body = "identity " + identity + "\nrole " + std::string {roleName(log.role)}
             + "\nleader " + log.leader + "\nterm " + std::to_string(log.term) + "\ncommit "
             + std::to_string(log.commitIndex) + "\nmembers "
             + std::to_string(log.membership.members_size()) + "\n";
     } else {
-        answer = problemResponse(error_kind::NotFound, request.path);
+        response = problemResponse(error_kind::NotFound, request.path);
     }
-    server.respond(request.id, std::move(answer));
+    server.respond(request.id, std::move(response));
 }
 
 int run(log_store &store, const stored_state &stored, const curve_site &site)
@@ -152,50 +153,51 @@
     replication_settings replication;
     replication.electionTimeout = {FLAGS_election_timeout_ms};
     replication.heartbeatPeriod = {FLAGS_heartbeat_ms};
-    std::unique_ptr<controller> running;
-    std::unique_ptr<curve_authenticator> guard;
+    std::unique_ptr<controller> controllerInstance;
+    std::unique_ptr<curve_authenticator> authenticator;
     if (site.isEncrypted()) {
-        guard = std::make_unique<curve_authenticator>(loop, context, site.allowed);
+        authenticator = std::make_unique<curve_authenticator>(loop, context, site.allowed);
     }
     socket_outbox outbox {loop,
                           context,
                           stored.identity,
                           "tcp://" + FLAGS_listen,
                           site,
-                          [&](const std::string &peer, std::string &&text) {
+                          [&](const std::string &peer, std::string &&serialized) {
                               messages::envelope envelope;
-                              if (running && envelope.ParseFromString(text)) {
-                                  running->handleMessage(peer, envelope, monotonicNow());
+                              if (controllerInstance && envelope.ParseFromString(serialized)) {
+                                  controllerInstance->handleMessage(peer, envelope, monotonicNow());
                               }
                           }};
     const auto seed = std::hash<std::string> {}(stored.identity);
-    running = std::make_unique<controller>(settings, replication, stored, seed, store, outbox,
-                                           monotonicNow());
+    controllerInstance = std::make_unique<controller>(settings, replication, stored, seed, store,
+                                                      outbox, monotonicNow());
     const auto [address, port] = splitEndpoint(FLAGS_http);
     std::unique_ptr<http_server> server;
     server = std::make_unique<http_server>(
-        loop, address, port, http_limits {}, tls_files {},
-        [&](http_request &&request) { answerHealth(*server, request, *running, stored.identity); });
+        loop, address, port, http_limits {}, tls_files {}, [&](http_request &&request) {
+            handleHealthRequest(*server, request, *controllerInstance, stored.identity);
+        });
     if (!server->isListening()) {
         log_line {"listen_failed", log_line::severity::Error}.with("address", FLAGS_http);
         return exitInvalidSettings;
     }
     int exitCode = 0;
-    time_point stopBy;
+    time_point stopDeadline;
     loop.callEvery(tickPeriod, [&] {
-        running->tick(monotonicNow());
-        for (const auto &member : running->view().log.membership.members()) {
+        controllerInstance->tick(monotonicNow());
+        for (const auto &member : controllerInstance->view().log.membership.members()) {
             if (member.identity() != stored.identity) {
                 outbox.maintainConnection(member);
             }
         }
-        const bool isDone = running->isReadyToStop() || monotonicNow() >= stopBy;
-        if (stopBy.ms != 0 && isDone) {
+        const bool canStop = controllerInstance->isReadyToStop() || monotonicNow() >= stopDeadline;
+        if (stopDeadline.ms != 0 && canStop) {
             loop.stop();
         }
     });
     loop.onWake([&] {
-        if (const auto error = running->flush(monotonicNow(), wallClockMs())) {
+        if (const auto error = controllerInstance->flush(monotonicNow(), wallClockMs())) {
             log_line {"storage_failed", log_line::severity::Error}.with("error", error.message());
             exitCode = exitStorage;
             loop.stop();
@@ -208,8 +210,8 @@
             loop.stop();
             return;
         }
-        stopBy = monotonicNow() + milliseconds {FLAGS_stop_ms};
-        running->prepareToStop();
+        stopDeadline = monotonicNow() + milliseconds {FLAGS_stop_ms};
+        controllerInstance->prepareToStop();
     });
     log_line {"started"}.with("name", FLAGS_name).with("identity", stored.identity);
     loop.run();
@@ -225,9 +227,9 @@
 int main(int argc, char **argv)
 {
     using namespace filbert;
-    auto problems = readSettings(&argc, &argv, "One controller of a filbertramp cell.");
+    auto problems = readSettings(&argc, &argv, "Runs one controller of a filbertramp cell.");
     startLog(argv[0]);
-    if (!areSettingsRight(std::move(problems))) {
+    if (!areSettingsValid(std::move(problems))) {
         return exitInvalidSettings;
     }
     logSettings({"name", "data_folder", "listen", "http", "election_timeout_ms", "heartbeat_ms",
@@ -252,7 +254,7 @@
         log_line {"open_failed", log_line::severity::Error}
             .with("error",
                   error == error_kind::NotFound
-                      ? "the data folder is not initialised, see --initialise"
+                      ? "the data folder is not initialised; see --initialise"
                       : error.message())
             .with("file", damage.file)
             .with("offset", damage.offset)
--- a/programs/filbert_gateway.cpp
+++ b/programs/filbert_gateway.cpp
@@ -1,4 +1,5 @@
-/** @file filbert-gateway: the entry host's process, between callers, targets and controllers. */
+/** @file filbert-gateway: the process of an entry host, which connects callers, targets and
+    controllers. */
 
 #include "filbert_gateway/filbert_gateway.h"
 #include "filbert_gateway/socket_transport.h"
@@ -10,20 +11,26 @@
 #include <unistd.h>
 
 DEFINE_string(name, "", "name of this gateway, unique in the cell");
-DEFINE_string(http, "127.0.0.1:7000", "IP:port for callers, targets, operators and the balancer");
-DEFINE_string(controllers, "127.0.0.1:7100", "IP:port of some controllers, comma-separated");
+DEFINE_string(http, "127.0.0.1:7000",
+              "IP:port for callers, targets, operators and the load balancer");
+DEFINE_string(controllers, "127.0.0.1:7100",
+              "comma-separated list of some controllers, each IP:port");
 DEFINE_string(bootstrap_operator_key, "",
-              "ID:SALT:HASH of a key that may apply the first configuration; ignored as soon as an "
+              "ID:SALT:HASH of a key that may apply the first configuration; ignored once an "
               "operator is configured");
-DEFINE_string(curve_site, "", "file of CURVE keys; empty = no encryption, loopback only");
-DEFINE_string(tls_certificate, "", "certificate chain file; empty = plain HTTP, loopback only");
-DEFINE_string(tls_private_key, "", "private key file");
+DEFINE_string(curve_site, "", "file with CURVE keys; empty = no encryption, loopback only");
+DEFINE_string(tls_certificate, "",
+              "file with the certificate chain; empty = plain HTTP, loopback only");
+DEFINE_string(tls_private_key, "", "file with the private key");
 DEFINE_string(target_trusted, "",
-              "certificates that targets' own must chain to; empty = plain HTTP, loopback only");
-DEFINE_int32(target_connections, 64, "connections that a target offers to all gateways together");
-DEFINE_int32(drain_ms, 2'000, "time for the balancer to move on before the gateway stops");
-DEFINE_int32(stop_ms, 30'000, "longest time for requests in flight at a planned stop");
-DEFINE_int32(max_body_bytes, 1 << 20, "largest body of a request");
+              "file with the CA certificates that targets' certificates must chain to; empty = "
+              "plain HTTP, loopback only");
+DEFINE_int32(target_connections, 64,
+             "maximum number of connections to a target from all gateways together");
+DEFINE_int32(drain_ms, 2'000,
+             "time for the load balancer to stop sending requests before the gateway stops, in ms");
+DEFINE_int32(stop_ms, 30'000, "maximum time for requests in flight at a graceful stop, in ms");
+DEFINE_int32(max_body_bytes, 1 << 20, "maximum size of a request body");
 
 namespace filbert {
 
@@ -32,32 +39,33 @@
 constexpr milliseconds tickPeriod {10};
 constexpr milliseconds certificatePeriod {10'000};
 constexpr int exitInvalidSettings = 2;
-constexpr std::size_t bootstrapParts = 3;
+constexpr std::size_t bootstrapKeyFields = 3;
 
-/** Calls of targets over HTTP. */
-class client_targets : public target_port
+/** Calls targets over HTTP. */
+class http_target_port : public target_port
 {
 public:
-    explicit client_targets(event_loop &loop)
+    explicit http_target_port(event_loop &loop)
         : loop {loop}
         , client {loop, FLAGS_target_connections, !FLAGS_target_trusted.empty(),
                   FLAGS_target_trusted}
     {
     }
 
-    void call(target_call &&call, handler onAnswer) override
+    void call(target_call &&call, handler onResponse) override
     {
         if (FLAGS_target_trusted.empty() && !call.address.starts_with("127.")) {
             log_line {"target_without_tls", log_line::severity::Error}.with("address",
                                                                             call.address);
-            loop.post(
-                [onAnswer = std::move(onAnswer)] { onAnswer(error_kind::ConnectionFailed, {}); });
+            loop.post([onResponse = std::move(onResponse)] {
+                onResponse(error_kind::ConnectionFailed, {});
+            });
             return;
         }
         client.send({call.id, std::move(call.address), "POST", std::move(call.path),
                      std::move(call.headers), std::move(call.body), call.timeout,
                      call.needsNewConnection},
-                    std::move(onAnswer));
+                    std::move(onResponse));
     }
 
     void cancel(std::uint64_t id) override { client.cancel(id); }
@@ -74,13 +82,13 @@
     http_client client;
 };
 
-/** Answers through the HTTP server. */
-class server_callers : public caller_port
+/** Responds to callers through the HTTP server. */
+class http_caller_port : public caller_port
 {
 public:
-    void respond(std::uint64_t request, http_response &&answer) override
+    void respond(std::uint64_t request, http_response &&response) override
     {
-        server->respond(request, std::move(answer));
+        server->respond(request, std::move(response));
     }
 
     http_server *server = nullptr;
@@ -93,16 +101,16 @@
     for (auto &c : text) {
         c = c == ':' ? ',' : c;
     }
-    const auto parts = splitList(text);
-    if (parts.size() == bootstrapParts) {
-        key.set_id(parts[0]);
-        key.set_salt(parts[1]);
-        key.set_hash(parts[2]);
+    const auto fields = splitList(text);
+    if (fields.size() == bootstrapKeyFields) {
+        key.set_id(fields[0]);
+        key.set_salt(fields[1]);
+        key.set_hash(fields[2]);
     }
     return key;
 }
 
-bool areSettingsRight(std::vector<std::string> problems)
+bool areSettingsValid(std::vector<std::string> problems)
 {
     settings_check check {std::move(problems)};
     check.require(!FLAGS_name.empty(), "--name: expected a name");
@@ -113,21 +121,22 @@
         check.requireEndpoint("controllers", address);
     }
     curve_site site;
-    check.require(!readCurveSite(FLAGS_curve_site, &site),
-                  "--curve_site: expected a readable file of 'self', 'controller', 'allow' lines");
+    check.require(
+        !readCurveSite(FLAGS_curve_site, &site),
+        "--curve_site: expected a readable file with 'self', 'controller' and 'allow' lines");
     for (const auto &address : controllers) {
         check.require(site.isEncrypted() || address.starts_with("127."),
-                      "--curve_site: expected, since a controller is not on loopback: " + address);
+                      "--curve_site: required because a controller is not on loopback: " + address);
     }
     check.require(FLAGS_bootstrap_operator_key.empty() || !readBootstrapKey().id().empty(),
                   "--bootstrap_operator_key: expected ID:SALT:HASH");
     check.require(FLAGS_tls_certificate.empty() == FLAGS_tls_private_key.empty(),
                   "--tls_certificate and --tls_private_key: expected both or neither");
     check.require(!FLAGS_tls_certificate.empty() || FLAGS_http.starts_with("127."),
-                  "--tls_certificate: expected, since --http is not on loopback");
+                  "--tls_certificate: required because --http is not a loopback address");
     for (const auto &file : {FLAGS_tls_certificate, FLAGS_tls_private_key, FLAGS_target_trusted}) {
         check.require(file.empty() || access(file.c_str(), R_OK) == 0,
-                      "a TLS file cannot be read: " + file);
+                      "cannot read TLS file: " + file);
     }
     check.require(FLAGS_target_connections > 0, "--target_connections: expected a number above 0");
     check.require(FLAGS_max_body_bytes > 0, "--max_body_bytes: expected a number above 0");
@@ -140,14 +149,14 @@
     zmq::context_t context {1};
     curve_site site;
     readCurveSite(FLAGS_curve_site, &site);
-    std::unique_ptr<gateway> running;
+    std::unique_ptr<gateway> gatewayInstance;
     std::unique_ptr<controller_links> links;
     socket_transport transport {
         loop, context, FLAGS_name, site,
         [&](const std::string &address, const messages::envelope &envelope) {
-            running->tick(monotonicNow());
+            gatewayInstance->tick(monotonicNow());
             if (!links->handleAnswer(address, envelope, monotonicNow())) {
-                running->handleOrder(envelope, monotonicNow());
+                gatewayInstance->handleOrder(envelope, monotonicNow());
             }
         }};
     std::vector<std::string> addresses;
@@ -155,37 +164,37 @@
         addresses.push_back("tcp://" + address);
     }
     links = std::make_unique<controller_links>(FLAGS_name, addresses, transport);
-    client_targets targets {loop};
-    server_callers callers;
+    http_target_port targets {loop};
+    http_caller_port callers;
     gateway_metrics metrics;
     gateway_settings settings;
     settings.name = FLAGS_name;
     settings.bootstrapOperator = readBootstrapKey();
-    running = std::make_unique<gateway>(settings, *links, callers, targets, metrics);
+    gatewayInstance = std::make_unique<gateway>(settings, *links, callers, targets, metrics);
     http_limits limits;
     limits.maxBodyBytes = static_cast<std::size_t>(FLAGS_max_body_bytes);
     const auto [address, port] = splitEndpoint(FLAGS_http);
     auto server = std::make_unique<http_server>(
         loop, address, port, limits, tls_files {FLAGS_tls_certificate, FLAGS_tls_private_key},
         [&](http_request &&request) {
-            running->handleRequest(std::move(request), monotonicNow());
+            gatewayInstance->handleRequest(std::move(request), monotonicNow());
         });
     callers.server = server.get();
     if (!server->isListening()) {
         log_line {"listen_failed", log_line::severity::Error}.with("address", FLAGS_http);
         return exitInvalidSettings;
     }
-    time_point closeAt;
-    time_point stopBy;
+    time_point drainEndsAt;
+    time_point stopDeadline;
     loop.callEvery(tickPeriod, [&] {
         const auto now = monotonicNow();
-        running->tick(now);
-        if (stopBy.ms == 0 || now < closeAt) {
+        gatewayInstance->tick(now);
+        if (stopDeadline.ms == 0 || now < drainEndsAt) {
             return;
         }
         server->closeAfterResponses();
         const bool isIdle = server->isIdle() && targets.pendingCalls() == 0 && links->isIdle();
-        if (isIdle || now >= stopBy) {
+        if (isIdle || now >= stopDeadline) {
             loop.stop();
         }
     });
@@ -202,9 +211,9 @@
             loop.stop();
             return;
         }
-        closeAt = monotonicNow() + milliseconds {FLAGS_drain_ms};
-        stopBy = closeAt + milliseconds {FLAGS_stop_ms};
-        running->startDraining(monotonicNow());
+        drainEndsAt = monotonicNow() + milliseconds {FLAGS_drain_ms};
+        stopDeadline = drainEndsAt + milliseconds {FLAGS_stop_ms};
+        gatewayInstance->startDraining(monotonicNow());
     });
     log_line {"started"}.with("name", FLAGS_name).with("http", FLAGS_http);
     loop.run();
@@ -220,9 +229,9 @@
 int main(int argc, char **argv)
 {
     using namespace filbert;
-    auto problems = readSettings(&argc, &argv, "One gateway of a filbertramp cell.");
+    auto problems = readSettings(&argc, &argv, "Runs one gateway of a filbertramp cell.");
     startLog(argv[0]);
-    if (!areSettingsRight(std::move(problems))) {
+    if (!areSettingsValid(std::move(problems))) {
         return exitInvalidSettings;
     }
     logSettings({"name", "http", "controllers", "tls_certificate", "target_trusted",
--- a/programs/filbertctl.cpp
+++ b/programs/filbertctl.cpp
@@ -1,4 +1,4 @@
-/** @file filbertctl: the tool of operators and submitters. */
+/** @file filbertctl: the command-line client for operators and job submitters. */
 
 #include "filbertctl_commands.h"
 
@@ -52,10 +52,10 @@
     if (!check.isValid()) {
         return exitUsage;
     }
-    const std::vector<std::string> words {argv + 1, argv + argc};
-    if (words.empty()) {
+    const std::vector<std::string> arguments {argv + 1, argv + argc};
+    if (arguments.empty()) {
         std::cerr << usage << "\n";
         return exitUsage;
     }
-    return runCommand(words);
+    return runCommand(arguments);
 }
--- a/programs/filbertctl_commands.cpp
+++ b/programs/filbertctl_commands.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/** One row: a command and what it runs. */
-struct command_row
+/** A command and the function that runs it. */
+struct command_entry
 {
     std::string_view name;
-    int (*run)(const words &arguments);
+    int (*run)(const argument_list &arguments);
 };
 
-constexpr command_row commands[] = {
+constexpr command_entry commands[] = {
     {"keys", makeKeys},     {"check", checkFiles},   {"diff", diffFiles},   {"apply", applyFiles},
     {"status", showStatus}, {"audit", showAudit},    {"call", callService}, {"submit", submitJob},
     {"show", showJob},      {"explain", showJob},    {"list", listJobs},    {"wait", waitJob},
@@ -25,15 +25,15 @@
 
 } // namespace
 
-int runCommand(const std::vector<std::string> &given)
+int runCommand(const std::vector<std::string> &arguments)
 {
     const auto *found = std::find_if(std::begin(commands), std::end(commands),
-                                     [&](const auto &row) { return row.name == given[0]; });
+                                     [&](const auto &entry) { return entry.name == arguments[0]; });
     if (found == std::end(commands)) {
-        std::cerr << "unknown command " << given[0] << "; see --help\n";
+        std::cerr << "unknown command " << arguments[0] << "; see --help\n";
         return exitUsage;
     }
-    return found->run({given.begin() + 1, given.end()});
+    return found->run({arguments.begin() + 1, arguments.end()});
 }
 
 } // namespace filbert
--- a/programs/filbertctl_commands.h
+++ b/programs/filbertctl_commands.h
@@ -5,7 +5,8 @@
 
 namespace filbert {
 
-// One function for each command; each takes the words behind the command and returns an exit code.
+// One function per command. Each takes the arguments that follow the command and returns an exit
+// code.
 int makeKeys(const std::vector<std::string> &arguments);
 int checkFiles(const std::vector<std::string> &files);
 int diffFiles(const std::vector<std::string> &files);
@@ -22,11 +23,11 @@
 int holdJob(const std::vector<std::string> &arguments);
 int releaseJob(const std::vector<std::string> &arguments);
 
-/** Runs one command of filbertctl.
+/** Runs a filbertctl command.
 
-    @param words  the command and its arguments, flags left out
-    @return the exit code that the usage text describes
+    @param arguments  the command followed by its arguments, without flags
+    @return an exit code as documented in the usage text
 */
-int runCommand(const std::vector<std::string> &words);
+int runCommand(const std::vector<std::string> &arguments);
 
 } // namespace filbert
--- a/programs/gateway_connection.cpp
+++ b/programs/gateway_connection.cpp
@@ -4,18 +4,18 @@
 
 #include <gflags/gflags.h>
 
-DEFINE_string(gateways, "127.0.0.1:7000", "IP:port of gateways, comma-separated");
-DEFINE_string(key, "", "token of a key; better given as FILBERT_KEY than on the command line");
-DEFINE_bool(tls, false, "speak TLS with gateways");
-DEFINE_string(tls_trusted, "", "file of certificates to trust");
-DEFINE_int32(timeout_ms, 15'000, "longest time for one answer");
+DEFINE_string(gateways, "127.0.0.1:7000", "comma-separated list of gateways, each IP:port");
+DEFINE_string(key, "", "access token; set FILBERT_KEY rather than passing it on the command line");
+DEFINE_bool(tls, false, "use TLS for connections to gateways");
+DEFINE_string(tls_trusted, "", "file with the certificates to trust");
+DEFINE_int32(timeout_ms, 15'000, "timeout of a request, in milliseconds");
 
 namespace filbert {
 
-gateway_answer askGateway(const std::string &method, const std::string &path,
-                          const std::string &body, const std::vector<http_header> &headers)
+gateway_response sendRequest(const std::string &method, const std::string &path,
+                             const std::string &body, const std::vector<http_header> &headers)
 {
-    gateway_answer result;
+    gateway_response result;
     result.error = error_kind::ConnectionFailed;
     for (const auto &endpoint : splitList(FLAGS_gateways)) {
         event_loop loop;
@@ -30,13 +30,13 @@
         }
         call.body = body;
         call.timeout = {FLAGS_timeout_ms};
-        client.send(std::move(call), [&](std::error_code error, http_response &&answer) {
-            result = {error, answer.status, std::move(answer.body)};
+        client.send(std::move(call), [&](std::error_code error, http_response &&response) {
+            result = {error, response.status, std::move(response.body)};
             loop.stop();
         });
         loop.run();
-        const bool mayGoOn = result.error == error_kind::ConnectionFailed || method == "GET";
-        if (!result.error || !mayGoOn) {
+        const bool canTryNext = result.error == error_kind::ConnectionFailed || method == "GET";
+        if (!result.error || !canTryNext) {
             return result;
         }
     }
--- a/programs/gateway_connection.h
+++ b/programs/gateway_connection.h
@@ -8,24 +8,24 @@
 
 namespace filbert {
 
-/** What a gateway answered, or why none did. */
-struct gateway_answer
+/** The response of a gateway, or the error if none answered. */
+struct gateway_response
 {
     std::error_code error;
     int status = 0;
     std::string body;
 };
 
-/** Calls the gateways of --gateways, one after the other until one can be reached.
+/** Sends a request to the gateways in --gateways, one after another, until one can be reached.
 
-    @param method   of HTTP
-    @param path     with query
+    @param method   HTTP method
+    @param path     path with its query
     @param body     may be empty
-    @param headers  besides the key
-    @return the first answer; a request that may have been read is not sent to a second gateway
-            unless it only reads
+    @param headers  headers in addition to the one with the key
+    @return the first response. Once a gateway may have received the request, it is sent to another
+            gateway only if its method is GET
 */
-gateway_answer askGateway(const std::string &method, const std::string &path,
-                          const std::string &body, const std::vector<http_header> &headers);
+gateway_response sendRequest(const std::string &method, const std::string &path,
+                             const std::string &body, const std::vector<http_header> &headers);
 
 } // namespace filbert
