--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# build.sh [release|sanitize] [PROGRAM...]: builds into build-release or build-sanitize.
+# Usage: build.sh [release|sanitize] [PROGRAM...]; builds in build-release or build-sanitize.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 kind=${1:-release}
--- a/scripts/cell.sh
+++ b/scripts/cell.sh
@@ -1,23 +1,24 @@
 #!/usr/bin/env bash
-# Functions that start and stop a small cell on loopback; sourced by demo.sh and the fault tests.
-# Needs: root (of the sources), and bin (folder of the programs) and work (folder for files and logs),
-# which begin sets.
+# Functions that start and stop a small cell on loopback, sourced by demo.sh, the fault tests and the
+# measurements. They use the variables root (the source tree), bin (the folder with the programs) and
+# work (the folder for files and logs); begin sets the last two.
 
 declare -A process_of
 
-# begin: finds the programs and makes the folder for files and logs; both end with the script.
+# begin: sets bin and work. When the script exits, all started programs are killed and the work folder
+# is deleted, unless KEEP is set.
 begin() {
     bin=${FILBERT_BIN:-$root/build-release/bin}
     work=$(mktemp -d)
     trap 'stop_everything; [ -n "${KEEP:-}" ] || rm -rf "$work"' EXIT
 }
 
-# Prints free TCP ports of 127.0.0.1, one a line.
+# free_ports COUNT: prints free TCP ports of 127.0.0.1, one per line.
 free_ports() {
     "$bin/filbert-free-ports" "$1"
 }
 
-# start NAME COMMAND...: runs a program in the background and remembers its process id.
+# start NAME COMMAND...: runs a program in the background and stores its process id in process_of.
 start() {
     local name=$1
     shift
@@ -25,7 +26,7 @@
     process_of[$name]=$!
 }
 
-# stop_gracefully NAME: asks a program to stop and waits; returns its exit code.
+# stop_gracefully NAME: sends SIGTERM and waits for the program to exit; returns its exit code.
 stop_gracefully() {
     local id=${process_of[$1]:-}
     [ -n "$id" ] || return 0
@@ -34,7 +35,7 @@
     wait "$id"
 }
 
-# kill_hard NAME: as a power loss would.
+# kill_hard NAME: kills a program without giving it a chance to clean up, as a power loss would.
 kill_hard() {
     local id=${process_of[$1]:-}
     [ -n "$id" ] || return 0
@@ -51,7 +52,7 @@
     wait 2>/dev/null || true
 }
 
-# eventually SECONDS COMMAND...: repeats a command until it succeeds.
+# eventually SECONDS COMMAND...: repeats a command until it succeeds; fails after the given time.
 eventually() {
     local until=$(($(date +%s) + $1))
     shift
@@ -61,7 +62,9 @@
     done
 }
 
-# controller_ports NUMBER / http_ports NUMBER: set by plan_ports.
+# plan_ports CONTROLLERS GATEWAYS TARGETS: chooses free ports and sets message_port, health_port,
+# gateway_port, target_port and member_port, which are indexed by the number of the process, and
+# controllers_flag and gateways_flag.
 plan_ports() {
     local controllers=$1 gateways=$2 targets=$3
     mapfile -t ports < <(free_ports $((controllers * 2 + gateways + targets)))
@@ -73,14 +76,14 @@
     done
     for ((i = 1; i <= gateways; i++)); do gateway_port[i]=${ports[next++]}; done
     for ((i = 1; i <= targets; i++)); do target_port[i]=${ports[next++]}; done
-    member_port=("${message_port[@]}") # where controllers are reached
+    member_port=("${message_port[@]}") # ports at which controllers are reached
     [ "$controllers" -eq 0 ] || member_port=([0]= "${message_port[@]}")
     unset 'member_port[0]'
     controllers_flag=$(printf '127.0.0.1:%s,' "${member_port[@]}")
     gateways_flag=$(printf '127.0.0.1:%s,' "${gateway_port[@]}")
 }
 
-# start_controller NUMBER: initialises its folder at the first time.
+# start_controller NUMBER: starts a controller; initialises its data folder first if it is new.
 start_controller() {
     local folder="$work/c$1"
     local flags=(--name="c$1" --curve_site="$work/site/c$1.site" --data_folder="$folder" --listen="127.0.0.1:${message_port[$1]}"
@@ -99,13 +102,14 @@
         --controllers="$controllers_flag" --curve_site="$work/site/g$1.site" --bootstrap_operator_key="$bootstrap_key" --drain_ms=500 ${gateway_extra:-}
 }
 
-# start_relay NAME PORT: a relay in front of a port; sets relay_port.
+# start_relay NAME PORT: starts a relay that forwards to a port; sets relay_port to its own port.
 start_relay() {
     relay_port=$(free_ports 1)
     start "$1" "$bin/filbert-relay" "$relay_port" "$2"
 }
 
-# relay_controllers COUNT: a relay in front of each, so that they are reached through it only.
+# relay_controllers COUNT: starts a relay for each controller, so that the other processes reach the
+# controllers only through the relays.
 relay_controllers() {
     local n
     for ((n = 1; n <= $1; n++)); do
@@ -115,7 +119,7 @@
     controllers_flag=$(printf '127.0.0.1:%s,' "${member_port[@]}")
 }
 
-# start_target NUMBER SERVICES [FLAGS...]
+# start_target NUMBER SERVICES [FLAGS...]: starts a stand-in target that records each start of work.
 start_target() {
     local number=$1 services=$2
     shift 2
@@ -125,7 +129,8 @@
         --record="$work/t$number.starts" "$@"
 }
 
-# make_key ID: sets token and stored, as the configuration keeps it.
+# make_key ID: creates an access key; sets token, stored (its entry in the configuration) and
+# bootstrap (its value for --bootstrap_operator_key).
 make_key() {
     local made
     made=$("$bin/filbertctl" keys make "$1")
@@ -134,7 +139,7 @@
     bootstrap=$(sed -n 's/^bootstrap: //p' <<<"$made")
 }
 
-# check WHAT COMMAND...: says whether it succeeds; counts failures.
+# check DESCRIPTION COMMAND...: runs a command, prints whether it succeeded and counts failures.
 failures=0
 check() {
     local what=$1
@@ -148,7 +153,7 @@
     fi
 }
 
-# write_cell FILE ORDERS-KEYS TARGET-KEY: the configuration of the fault tests.
+# write_cell FILE ORDERS-KEYS TARGET-KEY: writes the configuration of the fault tests.
 write_cell() {
     cat >"$1" <<YAML
 cell: faults
@@ -166,9 +171,9 @@
 YAML
 }
 
-# Loads run in the background, one at a time; needs desk_token and rate.
 load_number=0
-# load_during SECONDS FLAGS...
+# load_during SECONDS FLAGS...: starts a load in the background; only one may run at a time. Uses
+# desk_token and rate.
 load_during() {
     load_number=$((load_number + 1))
     local seconds=$1
@@ -179,8 +184,10 @@
         >"$work/load$load_number.out" 2>>"$work/load.log" &
     load_id=$!
 }
+# end_load: waits for the load and sets load_code to its exit code.
 end_load() { wait $load_id; load_code=$?; sed 's/^/  /' "$work/load$load_number.out"; }
 
+# check_histories: compares the calls of each load with the starts that the targets recorded.
 check_histories() {
     local i
     for i in $(seq 1 $load_number); do
@@ -197,11 +204,13 @@
     "$bin/filbertctl" --gateways="$gateways_flag" "$@"
 }
 
+# is_voter NUMBER: whether a controller is a voting member.
 is_voter() {
     ctl members list 2>/dev/null | grep -q "$(cat "$work/c$1.identity") .* voter"
 }
 
-# start_cell CONTROLLERS GATEWAYS TARGETS: controllers and gateways, one cell; targets are planned.
+# start_cell CONTROLLERS GATEWAYS TARGETS: starts a cell of controllers and gateways. For targets only
+# the ports are chosen; start_target starts them. If relayed is set, controllers are behind relays.
 start_cell() {
     plan_ports "$@"
     [ -z "${relayed:-}" ] || relay_controllers "$1"
--- a/scripts/install_packages.sh
+++ b/scripts/install_packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages listed in packages.txt; the one place that names them.
+# Installs the Debian packages listed in packages.txt, the only place where dependencies are listed.
 set -euo pipefail
 folder=$(cd "$(dirname "$0")" && pwd)
 mapfile -t packages < "$folder/packages.txt"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Format and lint of all our sources; the generated code is left out.
+# Checks the format of all sources and lints them, except for generated code.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t sources < <(git ls-files '*.h' '*.cpp' | grep -v '\.pb\.')
--- a/scripts/sanitize.sh
+++ b/scripts/sanitize.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The modules' tests, a random run and the fault test under the address and undefined-behaviour
-# sanitizers. One loop on one thread is ours; only libraries have threads, so that the thread sanitizer,
-# which needs them built with it, is left out.
+# Runs the module tests, a random run and the bad-input test under the address and undefined-behaviour
+# sanitizers. The thread sanitizer is not used: our code runs on one thread with one event loop, and the
+# libraries, which do have threads, would have to be built with that sanitizer too.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/build.sh sanitize
