--- a/programs/filbertctl.cpp
+++ b/programs/filbertctl.cpp
@@ -14,34 +14,33 @@
 constexpr const char *usage = R"(filbertctl COMMAND [ARGUMENTS] [FLAGS]
 
 Operators:
-  keys make ID             create an access key: its holder's token and its configuration entry
+  keys make ID             make a key: the token for its holder and the lines for the file
   keys site FOLDER C=IP:PORT... G...
-                           CURVE keys for controllers C and gateways G, one file each
-  keys tls FOLDER H=IP...  TLS certificates for hosts H and the authority that signs them
+                           CURVE keys for controllers C and gateways G, a file each
+  keys tls FOLDER H=IP...  TLS certificates for hosts H, and the authority that signs them
   check FILE...            check configuration files without sending them
   diff FILE...             show what 'apply' would change
-  apply FILE...            replace the whole configuration with these files; with --wait, wait
-                           until it is in force
-  status                   teams with their shares and usage, queues, targets and gateways
-  audit                    the audit trail of configuration changes
-  members list             the controllers and their roles
-  members add IP:PORT      add a controller; needs --identity and --member_name
+  apply FILE...            make the files the whole configuration; --wait until it is in force
+  status                   teams against share and limit, queues, targets, gateways
+  audit                    the trail of changes
+  members list             the controllers
+  members add ADDRESS      add a controller (tcp IP:port); needs --identity and --member_name
   members remove IDENTITY  remove a controller
   members replace OLD IP:PORT
-                           replace controller OLD with a new one (--identity); run the same command
-                           again if it was interrupted
-  hold JOB | release JOB   hold a job, or release a held one
+                           put a new controller (--identity) in an old one's place; give the same
+                           command again if it was cut off
+  hold JOB | release JOB   hold a job, or let it go on
 Submitters:
-  call SERVICE             send a synchronous request; --body is its body
-  submit                   submit a job: --queue, --service, --tasks, ...
-  show JOB | explain JOB   the state of a job, and why it is waiting
+  call SERVICE             send a synchronous request; body from --body
+  submit                   hand in a job: --queue, --service, --tasks, ...
+  show JOB | explain JOB   a job, and why it waits
   list                     the team's jobs
-  wait JOB                 wait until the job has ended
-  cancel JOB               cancel a job
+  wait JOB                 until the job has ended
+  cancel JOB               stop a job
 
-Exit codes: 0 success, 1 refused or failed, 2 invalid usage or file, 3 no gateway answered,
-4 outcome unknown.
-Every flag can also be set by an environment variable, for example FILBERT_KEY for --key.)";
+Exit codes: 0 done, 1 refused or failed, 2 wrong usage or file, 3 no gateway answered,
+4 the outcome is unknown.
+Every flag can be given as an environment variable, e.g. FILBERT_KEY.)";
 
 } // namespace
 
