--- a/extras/planted_faults.sh
+++ b/extras/planted_faults.sh
@@ -62,7 +62,7 @@
 plant "half of the voters commit" $replication/replicated_log.cpp \
     's/values\[values\.size\(\) \/ 2\]/values[(values.size() - 1) \/ 2]/'
 plant "a lost disk votes under its old identity" extras/random_run/fake_hosts.h \
-    's/identity = name \+ "-" \+ std::to_string\(\+\+lives\);/identity = name + "-1";/'
+    's/identity = name \+ "-" \+ std::to_string\(\+\+incarnation\);/identity = name + "-1";/'
 plant "a lease is renewed during its target's removal" modules/filbert_controller/target_leases.cpp \
     's/if \(live\.isRemovalProposed\) \{/if (live.isRemovalProposed \&\& now.ms < 0) {/'
 plant "a new leader takes old leases for ended" modules/filbert_controller/leadership.cpp \
--- a/extras/random_run/fake_hosts.h
+++ b/extras/random_run/fake_hosts.h
@@ -12,23 +12,25 @@
 
 namespace filbert {
 
-/** A host with a disk and one controller on it, which can lose power, pause, or lose its disk. */
+/** A host that runs one controller and can lose power, be paused, or lose its disk. */
 class controller_host : public controller_outbox
 {
 public:
-    using to_member = std::function<void(const std::string &to, const std::string &bytes)>;
+    using send_function = std::function<void(const std::string &to, const std::string &bytes)>;
 
-    controller_host(virtual_time &time, std::string name, to_member toPeer)
+    controller_host(virtual_time &time, std::string name, send_function sendToPeer)
         : time {time}
         , name {std::move(name)}
-        , toPeer {std::move(toPeer)}
+        , sendToPeer {std::move(sendToPeer)}
     {
     }
 
+    /** Prepares an empty disk under a new identity. @param isFirst whether the member bootstraps a
+        new cell */
     void initialise(bool isFirst)
     {
         log_store fresh {files};
-        identity = name + "-" + std::to_string(++lives);
+        identity = name + "-" + std::to_string(++incarnation);
         fresh.initialise(identity);
         if (isFirst) {
             stored_state state;
@@ -49,7 +51,7 @@
         stored_state state;
         storage_damage damage;
         const auto error = store->open(&state, &damage);
-        FILBERT_INVARIANT(!error, "a controller starts again after a crash");
+        FILBERT_INVARIANT(!error, "a controller starts again after a power failure");
         controller_settings settings;
         settings.snapshotEntries = 200;
         settings.snapshotChunkRecords = 3;
@@ -59,14 +61,14 @@
                                                *this, now());
     }
 
-    /** Loses power at the next sync, when the write has been made and nothing is durable yet. */
+    /** Loses power at the next sync, when the data has been written but is not durable yet. */
     void powerOffAtNextSync() { files.failSyncAt = files.syncs + 1; }
 
     void powerOff(bool keepsDisk)
     {
         running.reset();
         store.reset();
-        held.clear();
+        heldMessages.clear();
         isPaused = false;
         if (keepsDisk) {
             files.crash(time.random);
@@ -75,10 +77,10 @@
         }
     }
 
-    void take(const std::string &from, const std::string &bytes)
+    void receive(const std::string &from, const std::string &bytes)
     {
         if (isPaused) {
-            held.emplace_back(from, bytes);
+            heldMessages.emplace_back(from, bytes);
             return;
         }
         messages::envelope envelope;
@@ -99,18 +101,20 @@
     void resume()
     {
         isPaused = false;
-        for (const auto &[from, bytes] : std::exchange(held, {})) {
-            take(from, bytes);
+        for (const auto &[from, bytes] : std::exchange(heldMessages, {})) {
+            receive(from, bytes);
         }
     }
 
     void flush()
     {
         if (running->flush(now(), time.now.ms)) {
-            // Power was lost between a write and its sync, or the sync failed: the process stops.
+            // A failed sync, which is also how power is lost between a write and its sync, ends the
+            // process.
             files.failSyncAt = 0;
             powerOff(true);
-            time.after(static_cast<std::int64_t>(50 + time.below(3'000)), [this] { start(); });
+            time.schedule(static_cast<std::int64_t>(50 + time.randomBelow(3'000)),
+                          [this] { start(); });
         }
     }
 
@@ -120,12 +124,13 @@
         messages::envelope envelope;
         *envelope.mutable_replication() = message;
         const auto &identityOfPeer = member.identity();
-        toPeer(identityOfPeer.substr(0, identityOfPeer.find('-')), envelope.SerializeAsString());
+        sendToPeer(identityOfPeer.substr(0, identityOfPeer.find('-')),
+                   envelope.SerializeAsString());
     }
 
     void sendToGateway(const std::string &gateway, const messages::envelope &envelope) override
     {
-        toPeer(gateway, envelope.SerializeAsString());
+        sendToPeer(gateway, envelope.SerializeAsString());
     }
 
     time_point now() const { return clock.read(time.now); }
@@ -134,30 +139,30 @@
     virtual_time &time;
     std::string name;
     std::string identity;
-    to_member toPeer;
+    send_function sendToPeer;
     fake_file_system files;
     std::unique_ptr<log_store> store;
     std::unique_ptr<controller> running;
-    std::deque<std::pair<std::string, std::string>> held;
+    std::deque<std::pair<std::string, std::string>> heldMessages; // received while paused
     skewed_clock clock;
-    int lives = 0;
+    int incarnation = 0;
     bool isPaused = false;
 };
 
-/** An entry host with one gateway on it. */
+/** An entry host that runs one gateway. */
 class gateway_host : public controller_transport, public caller_port, public target_port
 {
 public:
-    using to_controller = std::function<void(const std::string &to, const std::string &bytes)>;
-    using to_target = std::function<void(target_call &&, handler)>;
-    using on_answer = std::function<void(http_response &&)>;
+    using send_function = std::function<void(const std::string &to, const std::string &bytes)>;
+    using call_function = std::function<void(target_call &&, handler)>;
+    using answer_handler = std::function<void(http_response &&)>;
 
-    gateway_host(virtual_time &time, std::string name, to_controller toController,
-                 to_target toTarget)
+    gateway_host(virtual_time &time, std::string name, send_function sendToController,
+                 call_function sendToTarget)
         : time {time}
         , name {std::move(name)}
-        , toController {std::move(toController)}
-        , toTarget {std::move(toTarget)}
+        , sendToController {std::move(sendToController)}
+        , sendToTarget {std::move(sendToTarget)}
     {
     }
 
@@ -170,17 +175,17 @@
         links = std::make_unique<controller_links>(
             name, std::vector<std::string> {"tcp://c0", "tcp://c1", "tcp://c2"}, *this);
         running = std::make_unique<gateway>(settings, *links, *this, *this, *metrics);
-        ++lives;
+        ++incarnation;
     }
 
     void powerOff()
     {
         running.reset();
         links.reset();
-        waiting.clear();
+        pendingRequests.clear();
     }
 
-    void take(const std::string &from, const std::string &bytes)
+    void receive(const std::string &from, const std::string &bytes)
     {
         messages::envelope envelope;
         if (!running || !envelope.ParseFromString(bytes)) {
@@ -192,27 +197,27 @@
         }
     }
 
-    /** A caller's request; the answer never comes if the gateway dies. */
-    void request(http_request &&request, on_answer onAnswer)
+    /** Passes a caller's request to the gateway. The caller gets no answer if the gateway stops. */
+    void request(http_request &&request, answer_handler onAnswer)
     {
         if (!running) {
             return;
         }
         request.id = ++lastRequest;
-        waiting[request.id] = std::move(onAnswer);
+        pendingRequests[request.id] = std::move(onAnswer);
         running->handleRequest(std::move(request), now());
     }
 
     void respond(std::uint64_t id, http_response &&answer) override
     {
-        auto found = waiting.extract(id);
-        FILBERT_INVARIANT(!found.empty(), "a request is answered once");
+        auto found = pendingRequests.extract(id);
+        FILBERT_INVARIANT(!found.empty(), "a request is answered exactly once");
         found.mapped()(std::move(answer));
     }
 
     bool send(const std::string &address, const messages::envelope &envelope) override
     {
-        toController(address.substr(address.rfind('/') + 1), envelope.SerializeAsString());
+        sendToController(address.substr(address.rfind('/') + 1), envelope.SerializeAsString());
         return true;
     }
 
@@ -223,22 +228,22 @@
     {
         const auto id = out.id;
         auto isEnded = std::make_shared<bool>(false);
-        handler once = [this, life = lives, onAnswer, isEnded](std::error_code error,
-                                                               http_response &&answer) {
-            if (running && lives == life && !std::exchange(*isEnded, true)) {
+        handler once = [this, callIncarnation = incarnation, onAnswer,
+                        isEnded](std::error_code error, http_response &&answer) {
+            if (running && incarnation == callIncarnation && !std::exchange(*isEnded, true)) {
                 running->tick(now());
                 onAnswer(error, std::move(answer));
             }
         };
         if (id != 0) {
-            cancellable[id] = once;
+            cancellableCalls[id] = once;
         }
-        toTarget(std::move(out), once);
+        sendToTarget(std::move(out), once);
     }
 
     void cancel(std::uint64_t id) override
     {
-        const auto call = cancellable.extract(id);
+        const auto call = cancellableCalls.extract(id);
         if (!call.empty()) {
             call.mapped()(error_kind::TargetLost, {});
         }
@@ -250,16 +255,16 @@
 
     virtual_time &time;
     std::string name;
-    to_controller toController;
-    to_target toTarget;
+    send_function sendToController;
+    call_function sendToTarget;
     std::unique_ptr<gateway_metrics> metrics;
     std::unique_ptr<controller_links> links;
     std::unique_ptr<gateway> running;
-    std::map<std::uint64_t, on_answer> waiting;
-    std::map<std::uint64_t, handler> cancellable; // calls of targets, ended ones too
+    std::map<std::uint64_t, answer_handler> pendingRequests;
+    std::map<std::uint64_t, handler> cancellableCalls; // calls to targets, including ended ones
     skewed_clock clock;
     std::uint64_t lastRequest = 0;
-    int lives = 0;
+    int incarnation = 0;
 };
 
 } // namespace filbert
--- a/extras/random_run/fake_network.h
+++ b/extras/random_run/fake_network.h
@@ -10,7 +10,9 @@
 
 namespace filbert {
 
-/** Loses, doubles, delays and reorders messages, and cuts names off in one or both directions. */
+/** Network that loses, duplicates, delays and reorders messages, and can block the links between
+    hosts in one or both directions.
+*/
 class fake_network
 {
 public:
@@ -19,25 +21,25 @@
     {
     }
 
-    /** Delivers a message some time later, or never. */
+    /** Sends a datagram, which may be delivered late, twice or never. */
     void send(const std::string &from, const std::string &to, const std::function<void()> &deliver)
     {
-        if (isCut(from, to) || time.chance(lossPerMille)) {
+        if (isBlocked(from, to) || time.chance(lossPerMille)) {
             return;
         }
         const int copies = time.chance(lossPerMille) ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
             const auto delay =
-                1 + time.below(3) + (time.chance(lossPerMille) ? time.below(2'500) : 0);
-            time.after(static_cast<std::int64_t>(delay), [this, from, to, deliver] {
-                if (!isCut(from, to)) {
+                1 + time.randomBelow(3) + (time.chance(lossPerMille) ? time.randomBelow(2'500) : 0);
+            time.schedule(static_cast<std::int64_t>(delay), [this, from, to, deliver] {
+                if (!isBlocked(from, to)) {
                     deliver();
                 }
             });
         }
     }
 
-    /** The same for a connection, which loses and delays but never doubles. */
+    /** Sends over a connection, which may lose or delay a message but never duplicates it. */
     void sendOnce(const std::string &from, const std::string &to,
                   const std::function<void()> &deliver)
     {
@@ -49,12 +51,14 @@
         });
     }
 
-    bool isCut(const std::string &from, const std::string &to) const
+    /** @return whether messages from one host to the other are discarded */
+    bool isBlocked(const std::string &from, const std::string &to) const
     {
-        return cut.contains({from, to}) || cut.contains({from, "*"}) || cut.contains({"*", to});
+        return blockedLinks.contains({from, to}) || blockedLinks.contains({from, "*"})
+            || blockedLinks.contains({"*", to});
     }
 
-    std::set<std::pair<std::string, std::string>> cut;
+    std::set<std::pair<std::string, std::string>> blockedLinks; // sender and receiver; "*" = any
     std::uint64_t lossPerMille = 5;
 
 private:
--- a/extras/random_run/fake_target.h
+++ b/extras/random_run/fake_target.h
@@ -13,7 +13,11 @@
 
 namespace filbert {
 
-/** A target by the interface: leases in its own clock, each start at most once, honest reports. */
+/** A target that follows the interface between cells and targets.
+
+    It measures leases on its own clock, starts each placement at most once and reports truthfully
+    what runs and what has finished.
+*/
 class fake_target
 {
 public:
@@ -27,7 +31,7 @@
         restart();
     }
 
-    /** Everything that ran is gone; the clock starts anew. */
+    /** Restarts the target: all running tasks are lost, and its clock starts from zero. */
     void restart()
     {
         for (const auto &[placement, task] : running) {
@@ -36,9 +40,9 @@
         running.clear();
         finished.clear();
         ++epoch;
-        startedEver.clear();
+        startedPlacements.clear();
         leaseExpiresAt = 0;
-        clock.offset = -time.now.ms * clock.perMille / 1'000 + 1;
+        clock.offset = -time.now.ms * clock.ratePerMille / 1'000 + 1;
         isAnnounced = false;
         isLeaving = false;
         isDrained = false;
@@ -46,24 +50,30 @@
 
     std::int64_t clockMs() const { return clock.read(time.now).ms; }
 
-    /** Tries to start; @return empty or why not */
-    std::string start(std::uint64_t placement, std::int64_t ofEpoch, std::int64_t startBy,
+    /** Starts a task unless its epoch, start deadline or the target's lease is no longer valid.
+
+        @param taskEpoch  epoch of the target that the start was meant for
+        @param startBy    latest start on the target's clock, in milliseconds
+        @param onEnd      called if the task runs to its end, but not if it is stopped
+        @return empty if the task has started, otherwise the reason why not
+    */
+    std::string start(std::uint64_t placement, std::int64_t taskEpoch, std::int64_t startBy,
                       const started_task &task, std::int64_t runMs, std::function<void()> onEnd)
     {
-        dropAfterLease();
-        if (ofEpoch == epoch && startedEver.contains(placement)) {
+        stopAfterLeaseExpiry();
+        if (taskEpoch == epoch && startedPlacements.contains(placement)) {
             return "started before";
         }
-        if (ofEpoch != epoch || clockMs() > startBy || clockMs() > leaseExpiresAt) {
+        if (taskEpoch != epoch || clockMs() > startBy || clockMs() > leaseExpiresAt) {
             return "refused";
         }
-        FILBERT_INVARIANT(!isDrained, "a drained target gets no more work");
-        startedEver.insert(placement);
+        FILBERT_INVARIANT(!isDrained, "a drained target receives no more work");
+        startedPlacements.insert(placement);
         running[placement] = task;
         checks.taskStarted(name, placement, task, capacity);
-        time.after(runMs, [this, placement, ofEpoch, onEnd = std::move(onEnd)] {
-            dropAfterLease();
-            if (epoch == ofEpoch && running.erase(placement) > 0) {
+        time.schedule(runMs, [this, placement, taskEpoch, onEnd = std::move(onEnd)] {
+            stopAfterLeaseExpiry();
+            if (epoch == taskEpoch && running.erase(placement) > 0) {
                 checks.taskStopped(name, placement);
                 finished[placement] = false;
                 onEnd();
@@ -80,8 +90,8 @@
         }
     }
 
-    /** A target stops everything by itself when its lease has ended. */
-    void dropAfterLease()
+    /** Stops all tasks if the lease has expired, as a target does without being told to. */
+    void stopAfterLeaseExpiry()
     {
         if (clockMs() <= leaseExpiresAt) {
             return;
@@ -101,11 +111,11 @@
     std::int64_t epoch = 0;
     std::int64_t leaseExpiresAt = 0;
     std::map<std::uint64_t, started_task> running;
-    std::map<std::uint64_t, bool> finished; // until acknowledged: whether it was stopped
-    std::set<std::uint64_t> startedEver;
+    std::map<std::uint64_t, bool> finished; // not yet acknowledged; true = stopped
+    std::set<std::uint64_t> startedPlacements;
     bool isAnnounced = false;
     bool isLeaving = false;
-    bool isDrained = false; // the cell has said that nothing more will come
+    bool isDrained = false; // the cell has reported that it sends no more work
 };
 
 } // namespace filbert
--- a/extras/random_run/filbert_random_run.cpp
+++ b/extras/random_run/filbert_random_run.cpp
@@ -1,6 +1,7 @@
-/** @file filbert-random-run: a long randomised run of the product's own code in virtual time.
+/** @file filbert-random-run: deterministic simulation of a cell with randomly injected faults.
 
-    The same seed and number of steps give the same digest.
+    Runs the production code of the controllers and gateways in virtual time. A run is reproducible:
+    the same seed and number of steps give the same digest.
 */
 
 #include "random_cell.h"
@@ -9,15 +10,17 @@
 #include <iostream>
 
 DEFINE_uint64(seed, 1, "first seed");
-DEFINE_int32(runs, 1, "how many seeds, one after the other");
-DEFINE_uint64(steps, 100'000, "events of each run");
-DEFINE_bool(crashes, true, "controllers, gateways and targets lose power");
-DEFINE_bool(pauses, true, "controllers pause");
-DEFINE_bool(cuts, true, "hosts are cut off, silently, in one or both directions");
-DEFINE_bool(lost_disks, true, "disks are lost and hosts replaced");
-DEFINE_bool(stop_at_first, false, "end at the first seed that breaks a promise");
+DEFINE_int32(runs, 1, "number of runs, each with the next seed");
+DEFINE_uint64(steps, 100'000, "number of simulated events in each run");
+DEFINE_bool(crashes, true, "inject power failures of controllers, gateways and targets");
+DEFINE_bool(pauses, true, "inject pauses of controllers");
+DEFINE_bool(cuts, true,
+            "inject network partitions that silently discard messages in one or both directions");
+DEFINE_bool(lost_disks, true, "inject disk losses, after which the member is replaced");
+DEFINE_bool(stop_at_first, false, "stop at the first seed that violates an invariant");
 DEFINE_bool(verbose, false, "log every event");
-DEFINE_bool(plant_skipped_sync, false, "disks lie about what is durable; must be caught");
+DEFINE_bool(plant_skipped_sync, false,
+            "plant a fault: disks ignore sync requests; the checks must detect it");
 
 int main(int argc, char **argv)
 {
@@ -28,13 +31,13 @@
         silenceLog();
     }
     throwOnViolatedInvariant();
-    const fault_mix mix {FLAGS_crashes, FLAGS_pauses, FLAGS_cuts, FLAGS_lost_disks,
-                         FLAGS_plant_skipped_sync};
+    const fault_settings faults {FLAGS_crashes, FLAGS_pauses, FLAGS_cuts, FLAGS_lost_disks,
+                                 FLAGS_plant_skipped_sync};
     int failed = 0;
     for (std::uint64_t seed = FLAGS_seed;
          seed < FLAGS_seed + static_cast<std::uint64_t>(FLAGS_runs); ++seed) {
         try {
-            const auto summary = random_cell {seed, mix}.run(FLAGS_steps);
+            const auto summary = random_cell {seed, faults}.run(FLAGS_steps);
             std::cout << "seed=" << seed << " steps=" << summary.steps << " digest=" << std::hex
                       << summary.digest << std::dec << " starts=" << summary.starts
                       << " answered=" << summary.answered << " refused=" << summary.refused
--- a/extras/random_run/random_cell.cpp
+++ b/extras/random_run/random_cell.cpp
@@ -10,20 +10,20 @@
 namespace {
 
 constexpr std::int64_t tickMs = 10;
-constexpr std::int64_t clockSpreadPerMille = 15;
-constexpr std::int64_t settleMs = 90'000;
-constexpr int applyTries = 20; // of the first configuration
+constexpr std::int64_t maxClockDriftPerMille = 15;
+constexpr std::int64_t settlingPeriodMs = 90'000;
+constexpr int maxApplyAttempts = 20; // of the first configuration
 
 } // namespace
 
-random_cell::random_cell(std::uint64_t seed, const fault_mix &mix)
+random_cell::random_cell(std::uint64_t seed, const fault_settings &settings)
     : time {seed}
-    , mix {mix}
+    , faults {settings}
     , network {time}
-    , operatorKey {fixedKey("root")}
-    , teamKey {fixedKey("desk")}
-    , spareKey {fixedKey("spare")}
-    , targetKey {fixedKey("booth")}
+    , operatorKey {cachedKey("root")}
+    , teamKey {cachedKey("desk")}
+    , spareKey {cachedKey("spare")}
+    , targetKey {cachedKey("booth")}
 {
     checks.slotLimits["limited"] = limitedTeamSlots;
     for (int i = 0; i < controllerCount; ++i) {
@@ -32,10 +32,11 @@
             time, name, [this, name](const std::string &to, const std::string &bytes) {
                 route(name, to, bytes);
             });
-        host->clock = {static_cast<std::int64_t>(time.below(1'000'000)),
-                       1'000 - clockSpreadPerMille
-                           + static_cast<std::int64_t>(time.below(2 * clockSpreadPerMille + 1))};
-        host->files.skipsSync = mix.skipsSync;
+        host->clock = {
+            static_cast<std::int64_t>(time.randomBelow(1'000'000)),
+            1'000 - maxClockDriftPerMille
+                + static_cast<std::int64_t>(time.randomBelow(2 * maxClockDriftPerMille + 1))};
+        host->files.skipsSync = faults.skipsSync;
         controllers.push_back(std::move(host));
     }
     for (int i = 0; i < gatewayCount; ++i) {
@@ -48,27 +49,28 @@
             [this, name](target_call &&call, const target_port::handler &onAnswer) {
                 callTarget(name, std::move(call), onAnswer);
             });
-        host->clock = {static_cast<std::int64_t>(time.below(1'000'000)),
-                       1'000 - clockSpreadPerMille
-                           + static_cast<std::int64_t>(time.below(2 * clockSpreadPerMille + 1))};
+        host->clock = {
+            static_cast<std::int64_t>(time.randomBelow(1'000'000)),
+            1'000 - maxClockDriftPerMille
+                + static_cast<std::int64_t>(time.randomBelow(2 * maxClockDriftPerMille + 1))};
         gateways.push_back(std::move(host));
     }
     for (int i = 0; i < targetCount; ++i) {
         targets.push_back(std::make_unique<fake_target>(time, checks, "t" + std::to_string(i),
                                                         resource_amounts {8'000, 8'192, 2, 4}));
-        targets.back()->clock.perMille = 1'000 - clockSpreadPerMille
-            + static_cast<std::int64_t>(time.below(2 * clockSpreadPerMille + 1));
+        targets.back()->clock.ratePerMille = 1'000 - maxClockDriftPerMille
+            + static_cast<std::int64_t>(time.randomBelow(2 * maxClockDriftPerMille + 1));
     }
 }
 
-void random_cell::note(std::uint64_t value)
+void random_cell::addToDigest(std::uint64_t value)
 {
     summary.digest = XXH64(&value, sizeof value, summary.digest);
 }
 
-gateway_host &random_cell::anyGateway()
+gateway_host &random_cell::randomGateway()
 {
-    return *gateways[time.below(gateways.size())];
+    return *gateways[time.randomBelow(gateways.size())];
 }
 
 controller_host *random_cell::leader()
@@ -84,14 +86,14 @@
 void random_cell::route(const std::string &from, const std::string &to, const std::string &bytes)
 {
     if (to.empty()) {
-        return; // nobody of that name is connected
+        return; // no host of that name is connected
     }
     network.send(from, to, [this, from, to, bytes] {
         const auto number = static_cast<std::size_t>(to[1] - '0');
         if (to[0] == 'c') {
-            controllers[number]->take(from, bytes);
+            controllers[number]->receive(from, bytes);
         } else {
-            gateways[number]->take(from, bytes);
+            gateways[number]->receive(from, bytes);
         }
     });
 }
@@ -107,20 +109,21 @@
         }
     }
     checkLeases();
-    time.after(tickMs, [this] { tickHosts(); });
+    time.schedule(tickMs, [this] { tickHosts(); });
 }
 
 void random_cell::checkLeases()
 {
     const auto holders = std::count_if(controllers.begin(), controllers.end(),
                                        [](const auto &host) { return host->hasValidLease(); });
-    FILBERT_INVARIANT(holders <= 1, "one leader holds the lease");
+    FILBERT_INVARIANT(holders <= 1, "at most one leader holds a valid lease");
     for (const auto &host : controllers) {
         if (!host->hasValidLease()) {
             continue;
         }
         for (const auto &[name, progress] : host->running->view().log.followerProgress) {
-            FILBERT_INVARIANT(!hasLostEntries(progress), "a member keeps what it acknowledged");
+            FILBERT_INVARIANT(!hasLostEntries(progress),
+                              "a member keeps the entries that it has acknowledged");
         }
     }
 }
@@ -138,72 +141,72 @@
         host->start(operatorKey.storedKey);
     }
     tickHosts();
-    const auto until = [&](const std::function<bool()> &holds) {
+    const auto runUntil = [&](const std::function<bool()> &holds) {
         const auto limit = time.now + milliseconds {60'000};
         while (!holds() && time.now < limit) {
-            time.step();
+            time.runNextEvent();
         }
-        FILBERT_INVARIANT(holds(), "the cell comes up");
+        FILBERT_INVARIANT(holds(), "the cell becomes ready within 60 s");
     };
-    until([&] { return leader() != nullptr; });
-    until([&] {
+    runUntil([&] { return leader() != nullptr; });
+    runUntil([&] {
         return std::all_of(gateways.begin(), gateways.end(), [](const auto &host) {
             return host->running->hasLeaderContact(host->now());
         });
     });
     for (std::size_t i = 1; i < controllers.size(); ++i) {
-        isReplacing = true;
+        isReplacingMember = true;
         finishReplacement(*controllers[i], "none");
-        until([&] { return !isReplacing; });
+        runUntil([&] { return !isReplacingMember; });
     }
-    for (int tries = 0; tries < applyTries && knownVersion == 0; ++tries) {
-        apply(0, true, "first");
-        const auto patience = time.now + milliseconds {15'000};
-        while (knownVersion == 0 && time.now < patience) {
-            time.step();
+    for (int attempt = 0; attempt < maxApplyAttempts && knownVersion == 0; ++attempt) {
+        applyConfiguration(0, true, "first");
+        const auto attemptEnd = time.now + milliseconds {15'000};
+        while (knownVersion == 0 && time.now < attemptEnd) {
+            time.runNextEvent();
         }
     }
     FILBERT_INVARIANT(knownVersion > 0, "the first configuration is accepted");
     for (const auto &target : targets) {
-        beat(*target);
+        sendHeartbeat(*target);
     }
 }
 
 run_summary random_cell::run(std::uint64_t steps)
 {
     setUp();
-    actAsCaller();
-    actAsOperator();
-    actAsFate();
+    simulateCaller();
+    simulateOperator();
+    injectNextFault();
     for (std::uint64_t i = 0; i < steps; ++i) {
-        time.step();
+        time.runNextEvent();
     }
     heal();
-    const auto end = time.now + milliseconds {settleMs};
+    const auto end = time.now + milliseconds {settlingPeriodMs};
     while (time.now < end) {
-        time.step();
+        time.runNextEvent();
     }
     auto *leading = leader();
-    FILBERT_INVARIANT(leading != nullptr, "a healed cell has a leader");
+    FILBERT_INVARIANT(leading != nullptr, "a cell without faults has a leader");
     const auto &view = leading->running->view();
     checkCellInvariants(view.cell);
     for (const auto &[id, submission] : acceptedJobs) {
         const auto job = view.cell.jobs.find(id);
-        FILBERT_INVARIANT(job != view.cell.jobs.end(), "an acknowledged job is found again");
+        FILBERT_INVARIANT(job != view.cell.jobs.end(), "an accepted job is kept");
         FILBERT_INVARIANT(job->second.endedMs != 0 || !job->second.holdReason.empty(),
-                          "no job is lost or waits for ever");
+                          "an accepted job ends or has a hold reason");
     }
     FILBERT_INVARIANT(view.cell.configuration.version() >= knownVersion,
-                      "an accepted configuration never reverts");
-    FILBERT_INVARIANT(isConfigurationHistoryRight(changes),
+                      "an accepted configuration is never reverted");
+    FILBERT_INVARIANT(isConfigurationHistoryRight(configurationHistory),
                       "the history of configuration changes is linearizable");
     for (const auto &host : controllers) {
         FILBERT_INVARIANT(host->running && host->running->view().log.digest == view.log.digest,
-                          "all members hold the same state");
+                          "all members have the same state");
     }
     summary.steps = steps;
     summary.starts = checks.starts;
-    note(view.cell.digest);
+    addToDigest(view.cell.digest);
     return summary;
 }
 
--- a/extras/random_run/random_cell.h
+++ b/extras/random_run/random_cell.h
@@ -16,9 +16,9 @@
 constexpr int controllerCount = 3;
 constexpr int gatewayCount = 2;
 constexpr int targetCount = 4;
-constexpr std::int64_t limitedTeamSlots = 5; // upper limit of the team "limited"
+constexpr std::int64_t limitedTeamSlots = 5; // upper limit of the team "limited", in slots
 
-/** What a run came to. */
+/** Digest and event counts of a run. */
 struct run_summary
 {
     std::uint64_t digest = 0;
@@ -30,107 +30,109 @@
     std::uint64_t jobs = 0;
     std::uint64_t configurations = 0;
     std::uint64_t faults = 0;
-    std::uint64_t replacedDisks = 0;
-    std::uint64_t plannedStops = 0; // of targets
+    std::uint64_t replacedDisks = 0; // members replaced after the loss of their disk
+    std::uint64_t plannedStops = 0; // targets that were drained before they restarted
 };
 
-/** Which faults a run brings about. */
-struct fault_mix
+/** The kinds of faults that a run injects. */
+struct fault_settings
 {
     bool crashes = true;
     bool pauses = true;
-    bool cuts = true;
+    bool partitions = true;
     bool lostDisks = true;
-    bool skipsSync = false; // a planted fault: disks lie about what is durable
+    bool skipsSync = false; // planted fault: disks ignore sync requests
 };
 
-/** The product's own controllers and gateways in virtual time, with fakes at their interfaces:
-    disks, network, targets, callers and operators, and faults among them.
+/** Deterministic simulation of a cell.
+
+    Runs the production code of the controllers and gateways in virtual time. Disks, network,
+    targets, callers and operators are fakes, and faults are injected at random.
 */
 class random_cell
 {
 public:
-    random_cell(std::uint64_t seed, const fault_mix &mix);
+    random_cell(std::uint64_t seed, const fault_settings &settings);
 
-    /** Lets so many things happen, then heals everything and checks that all work ends.
-        @return what happened; a broken promise throws std::logic_error */
+    /** Runs a number of events, then ends all faults and checks that all work is completed.
+        A violated invariant throws std::logic_error. */
     run_summary run(std::uint64_t steps);
 
 private:
-    struct sent_request
+    struct non_idempotent_request
     {
         std::string body;
         std::string key;
-        int sendings = 0;
-        int notRun = 0;
+        int sendCount = 0;
+        int notRunCount = 0;
     };
 
     // Hosts and messages.
     void route(const std::string &from, const std::string &to, const std::string &bytes);
     void callTarget(const std::string &from, target_call &&call,
                     const target_port::handler &onAnswer);
-    http_response answerOfTarget(fake_target &target, const target_call &call,
-                                 const std::function<void(http_response &&)> &later);
+    http_response respondAsTarget(fake_target &target, const target_call &call,
+                                  const std::function<void(http_response &&)> &later);
     void tickHosts();
     void setUp();
     void checkLeases();
 
     // Targets.
-    void beat(fake_target &target);
+    void sendHeartbeat(fake_target &target);
     void announce(fake_target &target);
-    void takeBeatReply(fake_target &target, std::int64_t epoch, const http_response &answer);
+    void handleHeartbeatReply(fake_target &target, std::int64_t epoch, const http_response &answer);
 
     // Callers and operators.
-    void actAsCaller();
+    void simulateCaller();
     void sendService(const std::string &service, const std::string &body, const std::string &key,
                      const std::string &token);
-    void takeServiceAnswer(const std::string &body, const std::string &key,
-                           std::uint64_t withdrawalsSeen, http_response &&answer);
+    void handleServiceAnswer(const std::string &body, const std::string &key,
+                             std::uint64_t revocationNumber, http_response &&answer);
     void submitJob();
     void cancelJob();
-    void actAsOperator();
-    void apply(std::int64_t base, bool hasSpareKey, const std::string &requestId);
-    void noteChangeAnswer(std::size_t number, const http_response &answer);
-    void learnVersion();
-    void watchInForce(std::int64_t version, std::uint64_t change);
+    void simulateOperator();
+    void applyConfiguration(std::int64_t base, bool hasSpareKey, const std::string &requestId);
+    void recordChangeAnswer(std::size_t number, const http_response &answer);
+    void queryVersion();
+    void pollUntilInForce(std::int64_t version, std::uint64_t change);
     messages::configuration makeConfiguration(bool hasSpareKey, int variant) const;
 
     // Faults.
-    void actAsFate();
+    void injectNextFault();
     void crashController();
     void replaceDisk();
     void finishReplacement(controller_host &host, const std::string &oldIdentity);
     void pauseController();
-    void cutSomebody();
+    void partitionHost();
     void heal();
 
-    gateway_host &anyGateway();
+    gateway_host &randomGateway();
     controller_host *leader();
-    std::string targetOf(const std::string &address) const;
-    void note(std::uint64_t value);
+    std::string targetNameOf(const std::string &address) const;
+    void addToDigest(std::uint64_t value);
 
     virtual_time time;
-    fault_mix mix;
+    fault_settings faults;
     fake_network network;
     promise_checks checks;
     std::vector<std::unique_ptr<controller_host>> controllers;
     std::vector<std::unique_ptr<gateway_host>> gateways;
     std::vector<std::unique_ptr<fake_target>> targets;
-    std::map<std::string, sent_request> dieOrders;
+    std::map<std::string, non_idempotent_request> nonIdempotentRequests;
     std::map<std::uint64_t, messages::job_submission> acceptedJobs;
     std::map<std::int64_t, std::string> digestOfVersion;
     std::map<std::string, std::int64_t> versionOfRequest;
-    std::vector<history_operation<configuration_call>> changes; // checked at the end
+    std::vector<history_operation<configuration_call>> configurationHistory;
     generated_key operatorKey;
     generated_key teamKey;
     generated_key spareKey;
     generated_key targetKey;
     std::int64_t knownVersion = 0;
-    std::uint64_t configurationChanges = 0; // that may have been accepted
-    bool isSpareWithdrawn = false;
-    bool isReplacing = false;
-    bool isQuiet = false;
-    int lastBody = 0;
+    std::uint64_t configurationChangeCount = 0; // sent, whether accepted or not
+    bool isSpareKeyRevoked = false;
+    bool isReplacingMember = false;
+    bool isHealed = false;
+    int lastRequestNumber = 0;
     run_summary summary;
 };
 
--- a/extras/random_run/random_cell_callers.cpp
+++ b/extras/random_run/random_cell_callers.cpp
@@ -6,17 +6,18 @@
 
 namespace filbert {
 
-void random_cell::actAsCaller()
+void random_cell::simulateCaller()
 {
-    if (!isQuiet) {
-        time.after(static_cast<std::int64_t>(20 + time.below(200)), [this] { actAsCaller(); });
+    if (!isHealed) {
+        time.schedule(static_cast<std::int64_t>(20 + time.randomBelow(200)),
+                      [this] { simulateCaller(); });
     }
     const auto team = time.chance(400) ? std::string {"limited"} : std::string {"free"};
-    const auto body = team + ":" + std::to_string(++lastBody);
-    const auto token = team == "limited" ? fixedKey("limited-desk").token
+    const auto body = team + ":" + std::to_string(++lastRequestNumber);
+    const auto token = team == "limited" ? cachedKey("limited-desk").token
         : time.chance(300)               ? spareKey.token
                                          : teamKey.token;
-    switch (time.below(8)) {
+    switch (time.randomBelow(8)) {
     case 0:
         submitJob();
         break;
@@ -28,12 +29,13 @@
         sendService("die", body, "key-" + body, token);
         break;
     case 4:
-        if (!dieOrders.empty()) {
-            auto which = std::next(dieOrders.begin(),
-                                   static_cast<std::ptrdiff_t>(time.below(dieOrders.size())));
+        if (!nonIdempotentRequests.empty()) {
+            auto which = std::next(
+                nonIdempotentRequests.begin(),
+                static_cast<std::ptrdiff_t>(time.randomBelow(nonIdempotentRequests.size())));
             const auto owner = which->second.body.substr(0, which->second.body.find(':'));
             sendService("die", which->second.body, which->second.key,
-                        owner == "limited" ? fixedKey("limited-desk").token : teamKey.token);
+                        owner == "limited" ? cachedKey("limited-desk").token : teamKey.token);
         }
         break;
     default:
@@ -44,49 +46,51 @@
 void random_cell::sendService(const std::string &service, const std::string &body,
                               const std::string &key, const std::string &token)
 {
-    auto request = requestOf("POST", "/v1/services/" + service, token, body);
+    auto request = makeRequest("POST", "/v1/services/" + service, token, body);
     request.idempotencyKey = key;
-    request.deadline = {static_cast<std::int64_t>(500 + time.below(4'000))};
+    request.deadline = {static_cast<std::int64_t>(500 + time.randomBelow(4'000))};
     if (!key.empty()) {
-        auto &order = dieOrders[key];
+        auto &order = nonIdempotentRequests[key];
         order.body = body;
         order.key = key;
-        ++order.sendings;
+        ++order.sendCount;
     }
-    const bool isWithdrawn = token == spareKey.token && isSpareWithdrawn;
-    const auto seen = isWithdrawn ? configurationChanges + 1 : 0;
+    const bool isRevoked = token == spareKey.token && isSpareKeyRevoked;
+    const auto seen = isRevoked ? configurationChangeCount + 1 : 0;
     ++summary.unanswered;
-    anyGateway().request(std::move(request), [this, body, key, seen](http_response &&answer) {
+    randomGateway().request(std::move(request), [this, body, key, seen](http_response &&answer) {
         --summary.unanswered;
-        takeServiceAnswer(body, key, seen, std::move(answer));
+        handleServiceAnswer(body, key, seen, std::move(answer));
     });
 }
 
-void random_cell::takeServiceAnswer(const std::string &body, const std::string &key,
-                                    std::uint64_t withdrawalsSeen, http_response &&answer)
+void random_cell::handleServiceAnswer(const std::string &body, const std::string &key,
+                                      std::uint64_t revocationNumber, http_response &&answer)
 {
-    note(static_cast<std::uint64_t>(answer.status));
+    addToDigest(static_cast<std::uint64_t>(answer.status));
     if (answer.status == 200) {
         ++summary.answered;
-        FILBERT_INVARIANT(answer.body == "did " + body, "every caller gets its own whole answer");
-        FILBERT_INVARIANT(withdrawalsSeen == 0 || withdrawalsSeen != configurationChanges + 1,
-                          "a withdrawn key has stopped working");
+        FILBERT_INVARIANT(answer.body == "did " + body,
+                          "a caller gets the complete answer to its own request");
+        FILBERT_INVARIANT(revocationNumber == 0 || revocationNumber != configurationChangeCount + 1,
+                          "a revoked key is no longer accepted");
         return;
     }
     ++summary.refused;
     messages::problem problem;
     std::string detail;
-    FILBERT_INVARIANT(!readJson(answer.body, &problem, &detail), "a refusal can be read");
+    FILBERT_INVARIANT(!readJson(answer.body, &problem, &detail),
+                      "a refusal has a valid problem document");
     if (problem.outcome() != "not_run") {
         return;
     }
     if (key.empty()) {
-        checks.toldNotRun(body);
+        checks.recordNotRun(body);
         return;
     }
-    auto &order = dieOrders.at(key);
-    if (++order.notRun == order.sendings && order.sendings == 1) {
-        order.sendings = 1'000; // from here on resends may run it, so nothing more is claimed
+    auto &order = nonIdempotentRequests.at(key);
+    if (++order.notRunCount == order.sendCount && order.sendCount == 1) {
+        order.sendCount = 1'000; // resends may run it from now on, so its refusals aren't checked
     }
 }
 
@@ -98,15 +102,15 @@
     body.set_queue(isGang ? "gangs" : "batches");
     body.set_service("quote");
     body.set_name("job");
-    body.set_tasks(static_cast<int>(1 + time.below(isGang ? 5 : 3)));
-    body.mutable_task()->set_milli_cores(static_cast<int>(500 + time.below(3'000)));
+    body.set_tasks(static_cast<int>(1 + time.randomBelow(isGang ? 5 : 3)));
+    body.mutable_task()->set_milli_cores(static_cast<int>(500 + time.randomBelow(3'000)));
     body.mutable_task()->set_memory_mb(512);
     body.mutable_task()->set_accelerators(time.chance(300) ? 1 : 0);
     body.set_idempotent(isIdempotent);
     body.set_payload(isIdempotent ? "again" : "once");
-    auto request = requestOf("POST", "/v1/jobs", teamKey.token, writeJson(body));
-    request.idempotencyKey = "job-" + std::to_string(++lastBody);
-    anyGateway().request(std::move(request), [this](http_response &&answer) {
+    auto request = makeRequest("POST", "/v1/jobs", teamKey.token, writeJson(body));
+    request.idempotencyKey = "job-" + std::to_string(++lastRequestNumber);
+    randomGateway().request(std::move(request), [this](http_response &&answer) {
         messages::job_reply reply;
         std::string detail;
         if (answer.status == 201 && !readJson(answer.body, &reply, &detail)) {
@@ -123,10 +127,10 @@
     if (acceptedJobs.empty() || !time.chance(300)) {
         return;
     }
-    const auto which = std::next(acceptedJobs.begin(),
-                                 static_cast<std::ptrdiff_t>(time.below(acceptedJobs.size())));
-    anyGateway().request(
-        requestOf("DELETE", "/v1/jobs/" + std::to_string(which->first), teamKey.token, ""),
+    const auto which = std::next(
+        acceptedJobs.begin(), static_cast<std::ptrdiff_t>(time.randomBelow(acceptedJobs.size())));
+    randomGateway().request(
+        makeRequest("DELETE", "/v1/jobs/" + std::to_string(which->first), teamKey.token, ""),
         [](http_response &&) {});
 }
 
--- a/extras/random_run/random_cell_faults.cpp
+++ b/extras/random_run/random_cell_faults.cpp
@@ -6,14 +6,15 @@
 
 namespace filbert {
 
-void random_cell::actAsFate()
+void random_cell::injectNextFault()
 {
-    if (isQuiet) {
+    if (isHealed) {
         return;
     }
-    time.after(static_cast<std::int64_t>(300 + time.below(4'000)), [this] { actAsFate(); });
+    time.schedule(static_cast<std::int64_t>(300 + time.randomBelow(4'000)),
+                  [this] { injectNextFault(); });
     ++summary.faults;
-    switch (time.below(8)) {
+    switch (time.randomBelow(8)) {
     case 0:
         crashController();
         break;
@@ -26,22 +27,22 @@
         break;
     case 4:
     case 5:
-        cutSomebody();
+        partitionHost();
         break;
     case 6: {
-        auto &host = anyGateway();
-        if (mix.crashes && host.running) {
+        auto &host = randomGateway();
+        if (faults.crashes && host.running) {
             host.powerOff();
-            time.after(static_cast<std::int64_t>(time.below(3'000)),
-                       [this, &host] { host.start(operatorKey.storedKey); });
+            time.schedule(static_cast<std::int64_t>(time.randomBelow(3'000)),
+                          [this, &host] { host.start(operatorKey.storedKey); });
         }
         break;
     }
     default: {
-        auto &target = *targets[time.below(targets.size())];
+        auto &target = *targets[time.randomBelow(targets.size())];
         if (time.chance(500)) {
             target.isLeaving = true;
-        } else if (mix.crashes) {
+        } else if (faults.crashes) {
             target.restart();
         }
     }
@@ -50,8 +51,8 @@
 
 void random_cell::crashController()
 {
-    auto &host = *controllers[time.below(controllers.size())];
-    if (!mix.crashes || !host.running) {
+    auto &host = *controllers[time.randomBelow(controllers.size())];
+    if (!faults.crashes || !host.running) {
         return;
     }
     if (time.chance(500)) {
@@ -59,14 +60,15 @@
         return;
     }
     host.powerOff(true);
-    time.after(static_cast<std::int64_t>(50 + time.below(4'000)), [&host] { host.start(); });
-    if (time.chance(200)) { // all at once
+    time.schedule(static_cast<std::int64_t>(50 + time.randomBelow(4'000)),
+                  [&host] { host.start(); });
+    if (time.chance(200)) { // a power failure of all controllers at once
         for (const auto &other : controllers) {
             if (other->running) {
                 auto &also = *other;
                 also.powerOff(true);
-                time.after(static_cast<std::int64_t>(50 + time.below(2'000)),
-                           [&also] { also.start(); });
+                time.schedule(static_cast<std::int64_t>(50 + time.randomBelow(2'000)),
+                              [&also] { also.start(); });
             }
         }
     }
@@ -75,12 +77,12 @@
 void random_cell::replaceDisk()
 {
     auto *leading = leader();
-    auto &host = *controllers[time.below(controllers.size())];
-    const bool isWhole = std::all_of(controllers.begin(), controllers.end(), [](const auto &each) {
-        return each->running && !each->isPaused;
-    });
-    if (!mix.lostDisks || isReplacing || !isWhole || leading == nullptr || &host == leading
-        || !network.cut.empty()) {
+    auto &host = *controllers[time.randomBelow(controllers.size())];
+    const bool areAllRunning =
+        std::all_of(controllers.begin(), controllers.end(),
+                    [](const auto &each) { return each->running && !each->isPaused; });
+    if (!faults.lostDisks || isReplacingMember || !areAllRunning || leading == nullptr
+        || &host == leading || !network.blockedLinks.empty()) {
         return;
     }
     const auto &members = leading->running->view().log.membership;
@@ -91,29 +93,29 @@
     if (!std::all_of(controllers.begin(), controllers.end(), isVoterNow)) {
         return;
     }
-    isReplacing = true;
+    isReplacingMember = true;
     ++summary.replacedDisks;
     const auto oldIdentity = host.identity;
     host.powerOff(false);
     host.initialise(false);
-    time.after(100, [&host] { host.start(); });
-    time.after(200, [this, &host, oldIdentity] { finishReplacement(host, oldIdentity); });
+    time.schedule(100, [&host] { host.start(); });
+    time.schedule(200, [this, &host, oldIdentity] { finishReplacement(host, oldIdentity); });
 }
 
 void random_cell::finishReplacement(controller_host &host, const std::string &oldIdentity)
 {
-    const auto again = [this, &host, oldIdentity] {
-        time.after(300, [this, &host, oldIdentity] { finishReplacement(host, oldIdentity); });
+    const auto retryLater = [this, &host, oldIdentity] {
+        time.schedule(300, [this, &host, oldIdentity] { finishReplacement(host, oldIdentity); });
     };
     auto *leading = leader();
     if (leading == nullptr) {
-        again();
+        retryLater();
         return;
     }
     const auto &members = leading->running->view().log.membership;
     const auto *now = findMember(members, host.identity);
     if (findMember(members, oldIdentity) == nullptr && now != nullptr && !now->learner()) {
-        isReplacing = false;
+        isReplacingMember = false;
         return;
     }
     messages::member_change change;
@@ -122,34 +124,36 @@
         change.set_action(mustRemove ? "remove" : "add");
         change.mutable_member()->set_identity(mustRemove ? oldIdentity : host.identity);
         change.mutable_member()->set_address("tcp://" + host.name);
-        anyGateway().request(requestOf("POST", "/v1/members", operatorKey.token, writeJson(change)),
-                             [](http_response &&) {});
+        randomGateway().request(
+            makeRequest("POST", "/v1/members", operatorKey.token, writeJson(change)),
+            [](http_response &&) {});
     }
-    again();
+    retryLater();
 }
 
 void random_cell::pauseController()
 {
-    auto &host = *controllers[time.below(controllers.size())];
-    if (!mix.pauses || host.isPaused || !host.running) {
+    auto &host = *controllers[time.randomBelow(controllers.size())];
+    if (!faults.pauses || host.isPaused || !host.running) {
         return;
     }
     host.isPaused = true;
-    time.after(static_cast<std::int64_t>(50 + time.below(6'000)), [&host] { host.resume(); });
+    time.schedule(static_cast<std::int64_t>(50 + time.randomBelow(6'000)),
+                  [&host] { host.resume(); });
 }
 
-void random_cell::cutSomebody()
+void random_cell::partitionHost()
 {
-    if (!mix.cuts) {
+    if (!faults.partitions) {
         return;
     }
-    const auto kind = time.below(3);
-    const auto name = kind == 0 ? "c" + std::to_string(time.below(controllerCount))
-        : kind == 1             ? "g" + std::to_string(time.below(gatewayCount))
-                                : "t" + std::to_string(time.below(targetCount));
-    const auto direction = time.below(3);
-    const auto other =
-        time.chance(400) ? "c" + std::to_string(time.below(controllerCount)) : std::string {"*"};
+    const auto kind = time.randomBelow(3);
+    const auto name = kind == 0 ? "c" + std::to_string(time.randomBelow(controllerCount))
+        : kind == 1             ? "g" + std::to_string(time.randomBelow(gatewayCount))
+                                : "t" + std::to_string(time.randomBelow(targetCount));
+    const auto direction = time.randomBelow(3);
+    const auto other = time.chance(400) ? "c" + std::to_string(time.randomBelow(controllerCount))
+                                        : std::string {"*"};
     std::vector<std::pair<std::string, std::string>> pairs;
     if (direction != 1) {
         pairs.emplace_back(name, other);
@@ -158,9 +162,9 @@
         pairs.emplace_back(other, name);
     }
     for (const auto &pair : pairs) {
-        network.cut.insert(pair);
-        time.after(static_cast<std::int64_t>(300 + time.below(9'000)),
-                   [this, pair] { network.cut.erase(pair); });
+        network.blockedLinks.insert(pair);
+        time.schedule(static_cast<std::int64_t>(300 + time.randomBelow(9'000)),
+                      [this, pair] { network.blockedLinks.erase(pair); });
     }
 }
 
@@ -169,8 +173,8 @@
     for (const auto &host : controllers) {
         host->files.failSyncAt = 0;
     }
-    isQuiet = true;
-    network.cut.clear();
+    isHealed = true;
+    network.blockedLinks.clear();
     network.lossPerMille = 0;
 }
 
--- a/extras/random_run/random_cell_operators.cpp
+++ b/extras/random_run/random_cell_operators.cpp
@@ -21,7 +21,7 @@
     limited->set_name("limited");
     limited->set_share(1);
     limited->mutable_upper_limit()->set_slots(limitedTeamSlots);
-    *limited->add_keys() = fixedKey("limited-desk").storedKey;
+    *limited->add_keys() = cachedKey("limited-desk").storedKey;
     const auto addQueue = [&](const char *name, messages::queue_policy policy) {
         auto *queue = whole.add_queues();
         queue->set_name(name);
@@ -51,62 +51,65 @@
     return whole;
 }
 
-void random_cell::actAsOperator()
+void random_cell::simulateOperator()
 {
-    if (!isQuiet) {
-        time.after(static_cast<std::int64_t>(500 + time.below(3'000)), [this] { actAsOperator(); });
+    if (!isHealed) {
+        time.schedule(static_cast<std::int64_t>(500 + time.randomBelow(3'000)),
+                      [this] { simulateOperator(); });
     }
-    learnVersion(); // for the next change; a lost answer would leave this operator behind for ever
-    const auto requestId = "request-" + std::to_string(++lastBody);
+    queryVersion(); // for the next change; after a lost answer the base version would stay outdated
+    const auto requestId = "request-" + std::to_string(++lastRequestNumber);
     const auto base = time.chance(900) ? knownVersion : knownVersion - 1;
     const bool hasSpareKey = time.chance(500);
-    apply(base, hasSpareKey, requestId);
+    applyConfiguration(base, hasSpareKey, requestId);
     if (time.chance(300)) {
-        apply(base, time.chance(500), "rival-" + std::to_string(++lastBody));
+        applyConfiguration(base, time.chance(500), "rival-" + std::to_string(++lastRequestNumber));
     }
     if (time.chance(300)) {
-        time.after(static_cast<std::int64_t>(time.below(2'000)),
-                   [this, base, hasSpareKey, requestId] { apply(base, hasSpareKey, requestId); });
+        time.schedule(static_cast<std::int64_t>(time.randomBelow(2'000)),
+                      [this, base, hasSpareKey, requestId] {
+                          applyConfiguration(base, hasSpareKey, requestId);
+                      });
     }
 }
 
-void random_cell::apply(std::int64_t base, bool hasSpareKey, const std::string &requestId)
+void random_cell::applyConfiguration(std::int64_t base, bool hasSpareKey,
+                                     const std::string &requestId)
 {
     messages::apply_request body;
-    *body.mutable_next() = makeConfiguration(hasSpareKey, lastBody);
+    *body.mutable_next() = makeConfiguration(hasSpareKey, lastRequestNumber);
     body.set_base_version(base);
     body.set_request_id(requestId);
-    isSpareWithdrawn = false;
-    const auto change = ++configurationChanges;
-    const auto number = changes.size();
-    changes.push_back({time.now.ms, neverReturned, {requestId, base}});
-    anyGateway().request(requestOf("PUT", "/v1/configuration", operatorKey.token, writeJson(body)),
-                         [this, hasSpareKey, requestId, change, number](http_response &&answer) {
-                             noteChangeAnswer(number, answer);
-                             messages::apply_reply reply;
-                             std::string detail;
-                             if (answer.status != 200 || readJson(answer.body, &reply, &detail)) {
-                                 return;
-                             }
-                             ++summary.configurations;
-                             const auto [version, isNew] =
-                                 digestOfVersion.emplace(reply.version(), reply.digest());
-                             FILBERT_INVARIANT(version->second == reply.digest(),
-                                               "a version stands for one configuration");
-                             const auto [request, isFirst] =
-                                 versionOfRequest.emplace(requestId, reply.version());
-                             FILBERT_INVARIANT(request->second == reply.version(),
-                                               "a resent change gets its first answer");
-                             knownVersion = std::max(knownVersion, reply.version());
-                             if (!hasSpareKey && isFirst) {
-                                 watchInForce(reply.version(), change);
-                             }
-                         });
+    isSpareKeyRevoked = false;
+    const auto change = ++configurationChangeCount;
+    const auto number = configurationHistory.size();
+    configurationHistory.push_back({time.now.ms, neverReturned, {requestId, base}});
+    randomGateway().request(
+        makeRequest("PUT", "/v1/configuration", operatorKey.token, writeJson(body)),
+        [this, hasSpareKey, requestId, change, number](http_response &&answer) {
+            recordChangeAnswer(number, answer);
+            messages::apply_reply reply;
+            std::string detail;
+            if (answer.status != 200 || readJson(answer.body, &reply, &detail)) {
+                return;
+            }
+            ++summary.configurations;
+            const auto [version, isNew] = digestOfVersion.emplace(reply.version(), reply.digest());
+            FILBERT_INVARIANT(version->second == reply.digest(),
+                              "a version identifies exactly one configuration");
+            const auto [request, isFirst] = versionOfRequest.emplace(requestId, reply.version());
+            FILBERT_INVARIANT(request->second == reply.version(),
+                              "a resent change gets its original answer");
+            knownVersion = std::max(knownVersion, reply.version());
+            if (!hasSpareKey && isFirst) {
+                pollUntilInForce(reply.version(), change);
+            }
+        });
 }
 
-void random_cell::noteChangeAnswer(std::size_t number, const http_response &answer)
+void random_cell::recordChangeAnswer(std::size_t number, const http_response &answer)
 {
-    auto &change = changes[number];
+    auto &change = configurationHistory[number];
     messages::apply_reply reply;
     messages::problem problem;
     std::string detail;
@@ -116,38 +119,38 @@
     } else if (!readJson(answer.body, &problem, &detail) && problem.kind() == "conflict") {
         change.call.result = change_result::Conflict;
     } else {
-        return; // whatever else was answered, it may have been taken
+        return; // after any other answer the change may or may not have been accepted
     }
     change.returnedAt = time.now.ms;
 }
 
-void random_cell::learnVersion()
+void random_cell::queryVersion()
 {
-    anyGateway().request(requestOf("GET", "/v1/members", operatorKey.token, ""),
-                         [this](http_response &&answer) {
-                             messages::status_reply status;
-                             std::string detail;
-                             if (answer.status == 200 && !readJson(answer.body, &status, &detail)) {
-                                 knownVersion = std::max(knownVersion, status.version());
-                             }
-                         });
+    randomGateway().request(
+        makeRequest("GET", "/v1/members", operatorKey.token, ""), [this](http_response &&answer) {
+            messages::status_reply status;
+            std::string detail;
+            if (answer.status == 200 && !readJson(answer.body, &status, &detail)) {
+                knownVersion = std::max(knownVersion, status.version());
+            }
+        });
 }
 
-void random_cell::watchInForce(std::int64_t version, std::uint64_t change)
+void random_cell::pollUntilInForce(std::int64_t version, std::uint64_t change)
 {
-    if (change != configurationChanges) {
-        return; // another change may have brought the key back
+    if (change != configurationChangeCount) {
+        return; // a later change may have restored the key
     }
-    auto request = requestOf("GET", "/v1/members", operatorKey.token, "");
+    auto request = makeRequest("GET", "/v1/members", operatorKey.token, "");
     request.query = "version=" + std::to_string(version);
-    anyGateway().request(std::move(request), [this, version, change](http_response &&answer) {
+    randomGateway().request(std::move(request), [this, version, change](http_response &&answer) {
         messages::status_reply status;
         std::string detail;
         const bool isKnown = answer.status == 200 && !readJson(answer.body, &status, &detail);
         if (isKnown && status.in_force() && status.version() == version) {
-            isSpareWithdrawn = change == configurationChanges;
+            isSpareKeyRevoked = change == configurationChangeCount;
         } else {
-            time.after(500, [this, version, change] { watchInForce(version, change); });
+            time.schedule(500, [this, version, change] { pollUntilInForce(version, change); });
         }
     });
 }
--- a/extras/random_run/random_cell_targets.cpp
+++ b/extras/random_run/random_cell_targets.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::int64_t beatMs = 500;
+constexpr std::int64_t heartbeatIntervalMs = 500;
 
 } // namespace
 
-std::string random_cell::targetOf(const std::string &address) const
+std::string random_cell::targetNameOf(const std::string &address) const
 {
     return "t" + address.substr(address.rfind(':') + 1);
 }
@@ -20,10 +20,10 @@
 void random_cell::callTarget(const std::string &from, target_call &&call,
                              const target_port::handler &onAnswer)
 {
-    const auto name = targetOf(call.address);
+    const auto name = targetNameOf(call.address);
     auto &target = *targets[static_cast<std::size_t>(name[1] - '1')];
-    if (network.isCut(from, target.name)) {
-        time.after(5, [onAnswer] { onAnswer(error_kind::ConnectionFailed, {}); });
+    if (network.isBlocked(from, target.name)) {
+        time.schedule(5, [onAnswer] { onAnswer(error_kind::ConnectionFailed, {}); });
         return;
     }
     auto isDone = std::make_shared<bool>(false);
@@ -32,24 +32,24 @@
             onAnswer(error, std::move(answer));
         }
     };
-    time.after(call.timeout.count, [finish] { finish(error_kind::Timeout, {}); });
+    time.schedule(call.timeout.count, [finish] { finish(error_kind::Timeout, {}); });
     const auto back = [this, from, &target, finish](http_response &&answer) {
         network.sendOnce(target.name, from,
                          [finish, answer] { finish({}, http_response {answer}); });
     };
     network.sendOnce(from, target.name, [this, &target, call, back] {
         for (const auto &each : targets) {
-            each->dropAfterLease();
+            each->stopAfterLeaseExpiry();
         }
-        auto answer = answerOfTarget(target, call, back);
+        auto answer = respondAsTarget(target, call, back);
         if (answer.status != 0) {
             back(std::move(answer));
         }
     });
 }
 
-http_response random_cell::answerOfTarget(fake_target &target, const target_call &call,
-                                          const std::function<void(http_response &&)> &later)
+http_response random_cell::respondAsTarget(fake_target &target, const target_call &call,
+                                           const std::function<void(http_response &&)> &later)
 {
     http_response answer;
     if (call.path == "/v1/run") {
@@ -65,7 +65,7 @@
         task.isIdempotent = service == "quote";
         const auto why = target.start(placement, headerNumber(call.headers, "filbert-epoch"),
                                       headerNumber(call.headers, "filbert-start-by"), task,
-                                      static_cast<std::int64_t>(1 + time.below(300)),
+                                      static_cast<std::int64_t>(1 + time.randomBelow(300)),
                                       [later, answer] { later(http_response {answer}); });
         answer.status = why.empty() ? 0 : (why == "refused" ? 412 : 409);
         return answer;
@@ -88,8 +88,9 @@
     task.body = "job";
     task.need = taskNeedOf(order.task());
     task.isIdempotent = order.payload() == "again";
-    const auto why = target.start(order.placement_id(), order.target_epoch(), order.start_by(),
-                                  task, static_cast<std::int64_t>(50 + time.below(5'000)), [] {});
+    const auto why =
+        target.start(order.placement_id(), order.target_epoch(), order.start_by(), task,
+                     static_cast<std::int64_t>(50 + time.randomBelow(5'000)), [] {});
     answer.status = why == "refused" ? 412 : 202;
     return answer;
 }
@@ -103,21 +104,21 @@
     *body.mutable_capacity() = messageOf(target.capacity);
     body.add_services("quote");
     body.add_services("die");
-    auto &gateway = anyGateway();
-    if (network.isCut(target.name, gateway.name)) {
+    auto &gateway = randomGateway();
+    if (network.isBlocked(target.name, gateway.name)) {
         return;
     }
-    gateway.request(requestOf("POST", "/v1/targets/" + target.name + "/announce", targetKey.token,
-                              writeJson(body)),
+    gateway.request(makeRequest("POST", "/v1/targets/" + target.name + "/announce", targetKey.token,
+                                writeJson(body)),
                     [&target, epoch = target.epoch](http_response &&answer) {
                         target.isAnnounced |= answer.status == 200 && target.epoch == epoch;
                     });
 }
 
-void random_cell::beat(fake_target &target)
+void random_cell::sendHeartbeat(fake_target &target)
 {
-    time.after(beatMs, [this, &target] { beat(target); });
-    target.dropAfterLease();
+    time.schedule(heartbeatIntervalMs, [this, &target] { sendHeartbeat(target); });
+    target.stopAfterLeaseExpiry();
     if (!target.isAnnounced) {
         announce(target);
         return;
@@ -137,22 +138,22 @@
         row->set_succeeded(!stopped);
         row->set_stopped(stopped);
     }
-    auto &gateway = anyGateway();
-    if (network.isCut(target.name, gateway.name)) {
+    auto &gateway = randomGateway();
+    if (network.isBlocked(target.name, gateway.name)) {
         return;
     }
     const auto path = "/v1/targets/" + target.name + "/heartbeat";
     network.send(target.name, gateway.name,
                  [this, &gateway, &target, path, epoch = target.epoch, text = writeJson(body)] {
-                     gateway.request(requestOf("POST", path, targetKey.token, text),
+                     gateway.request(makeRequest("POST", path, targetKey.token, text),
                                      [this, &target, epoch](http_response &&answer) {
-                                         takeBeatReply(target, epoch, answer);
+                                         handleHeartbeatReply(target, epoch, answer);
                                      });
                  });
 }
 
-void random_cell::takeBeatReply(fake_target &target, std::int64_t epoch,
-                                const http_response &answer)
+void random_cell::handleHeartbeatReply(fake_target &target, std::int64_t epoch,
+                                       const http_response &answer)
 {
     messages::heartbeat_reply reply;
     std::string detail;
@@ -163,7 +164,7 @@
         target.isAnnounced = false;
         return;
     }
-    target.dropAfterLease();
+    target.stopAfterLeaseExpiry();
     target.leaseExpiresAt = std::max(target.leaseExpiresAt, reply.lease_until());
     for (const auto placement : reply.acknowledged()) {
         target.finished.erase(placement);
@@ -172,11 +173,11 @@
         target.stop(placement);
     }
     if (target.isLeaving && reply.drained() && !target.isDrained) {
-        FILBERT_INVARIANT(target.running.empty(), "a drained target runs nothing");
+        FILBERT_INVARIANT(target.running.empty(), "a drained target has no running tasks");
         target.isDrained = true;
         ++summary.plannedStops;
-        // It listens a while longer, so that work that still came would be seen.
-        time.after(static_cast<std::int64_t>(time.below(2'000)), [&target, epoch] {
+        // The target stays up for a while, so that work sent to it after draining is detected.
+        time.schedule(static_cast<std::int64_t>(time.randomBelow(2'000)), [&target, epoch] {
             if (target.epoch == epoch) {
                 target.restart();
             }
--- a/extras/random_run/run_requests.cpp
+++ b/extras/random_run/run_requests.cpp
@@ -5,17 +5,17 @@
 
 namespace filbert {
 
-generated_key fixedKey(const std::string &id)
+generated_key cachedKey(const std::string &id)
 {
-    static std::map<std::string, generated_key> made;
-    if (!made.contains(id)) {
-        made[id] = generateKey(id);
+    static std::map<std::string, generated_key> keys;
+    if (!keys.contains(id)) {
+        keys[id] = generateKey(id);
     }
-    return made[id];
+    return keys[id];
 }
 
-http_request requestOf(const std::string &method, const std::string &path, const std::string &token,
-                       std::string body)
+http_request makeRequest(const std::string &method, const std::string &path,
+                         const std::string &token, std::string body)
 {
     http_request request;
     request.method = method;
--- a/extras/random_run/run_requests.h
+++ b/extras/random_run/run_requests.h
@@ -7,12 +7,12 @@
 
 namespace filbert {
 
-/** A key that is made once in a process, so that each run in it has the same ones. @param id of it
- */
-generated_key fixedKey(const std::string &id);
+/** Generates a key at the first call and returns the same one later, so that all runs of a process
+    use the same keys. @param id of the key */
+generated_key cachedKey(const std::string &id);
 
-/** @return a whole request as an HTTP server hands it on */
-http_request requestOf(const std::string &method, const std::string &path, const std::string &token,
-                       std::string body);
+/** @return a complete request as the HTTP server passes it to the gateway */
+http_request makeRequest(const std::string &method, const std::string &path,
+                         const std::string &token, std::string body);
 
 } // namespace filbert
--- a/extras/random_run/virtual_time.h
+++ b/extras/random_run/virtual_time.h
@@ -9,7 +9,10 @@
 
 namespace filbert {
 
-/** Things that will happen, in virtual time; the same seed gives the same order. */
+/** Event queue, clock and random numbers of a discrete-event simulation.
+
+    The same seed gives the same sequence of events.
+*/
 class virtual_time
 {
 public:
@@ -18,24 +21,25 @@
     {
     }
 
-    void after(std::int64_t ms, std::function<void()> action)
+    /** Runs an action a number of milliseconds from now. */
+    void schedule(std::int64_t ms, std::function<void()> action)
     {
         events.emplace(std::pair {now.ms + ms, ++lastEvent}, std::move(action));
     }
 
-    /** Lets the next thing happen. */
-    void step()
+    /** Advances the clock to the earliest scheduled event and runs it. */
+    void runNextEvent()
     {
         auto next = events.extract(events.begin());
         now.ms = next.key().first;
         next.mapped()();
     }
 
-    /** @return a number from 0 to below the bound */
-    std::uint64_t below(std::uint64_t bound) { return random() % bound; }
+    /** @return a random number from 0 up to, but not including, the bound */
+    std::uint64_t randomBelow(std::uint64_t bound) { return random() % bound; }
 
-    /** @return true in so many of a thousand cases */
-    bool chance(std::uint64_t inThousand) { return below(1'000) < inThousand; }
+    /** @return true with a probability given in thousandths */
+    bool chance(std::uint64_t perMille) { return randomBelow(1'000) < perMille; }
 
     time_point now {1'000'000};
     std::mt19937_64 random;
@@ -45,13 +49,13 @@
     std::uint64_t lastEvent = 0;
 };
 
-/** A host's monotonic clock: its own start and a rate that is a little off. */
+/** A host's monotonic clock, with an offset and a rate that differ from virtual time. */
 struct skewed_clock
 {
     std::int64_t offset = 0;
-    std::int64_t perMille = 1'000; // 1'010 = one per cent fast
+    std::int64_t ratePerMille = 1'000; // 1'010 = one percent fast
 
-    time_point read(time_point real) const { return {offset + real.ms * perMille / 1'000}; }
+    time_point read(time_point real) const { return {offset + real.ms * ratePerMille / 1'000}; }
 };
 
 } // namespace filbert
