--- a/extras/history_check/configuration_history.cpp
+++ b/extras/history_check/configuration_history.cpp
@@ -6,14 +6,17 @@
 
 namespace {
 
-/** The register that a cell's configuration is, as a caller can know it. */
-struct configuration_register
+/** Sequential model of a cell's configuration: a register that changes by compare-and-set on its
+    version.
+*/
+struct configuration_model
 {
     std::int64_t version = 0;
     std::map<std::string, std::int64_t> versionOfRequest;
 };
 
-bool takeChange(configuration_register &state, const configuration_call &call, bool hasReturned)
+/** Applies a change to the model. @return whether the model allows the result that was observed */
+bool applyChange(configuration_model &state, const configuration_call &call, bool hasReturned)
 {
     const auto earlier = state.versionOfRequest.find(call.requestId);
     if (earlier != state.versionOfRequest.end()) {
@@ -31,22 +34,23 @@
     return !hasReturned || call.version == state.version;
 }
 
-std::string nameOf(const configuration_register &state)
+std::string encodeState(const configuration_model &state)
 {
-    std::string name = std::to_string(state.version);
+    std::string text = std::to_string(state.version);
     for (const auto &[request, version] : state.versionOfRequest) {
-        name += " " + request + "=" + std::to_string(version);
+        text += " " + request + "=" + std::to_string(version);
     }
-    return name;
+    return text;
 }
 
 } // namespace
 
-bool isConfigurationHistoryRight(const std::vector<history_operation<configuration_call>> &history)
+bool isConfigurationHistoryLinearizable(
+    const std::vector<history_operation<configuration_call>> &history)
 {
-    linearizability_search<configuration_register, configuration_call, decltype(&takeChange),
-                           decltype(&nameOf)>
-        search {history, takeChange, nameOf};
+    linearizability_search<configuration_model, configuration_call, decltype(&applyChange),
+                           decltype(&encodeState)>
+        search {history, applyChange, encodeState};
     return search.run({});
 }
 
--- a/extras/history_check/filbert_history_check.cpp
+++ b/extras/history_check/filbert_history_check.cpp
@@ -1,6 +1,9 @@
-/** @file filbert-history-check: checks what callers and targets recorded during a fault run.
+/** @file filbert-history-check: checks the records of callers and targets from a fault-injection
+   run.
 
-    Usage: filbert-history-check CALLS STARTS... ; prints each broken promise, exits with 1 if any.
+    Usage: filbert-history-check CALLS STARTS...
+
+    Prints each violated guarantee. Exits with 1 if there is any or if no calls were recorded.
 */
 
 #include "history.h"
@@ -12,7 +15,7 @@
 {
     using namespace filbert;
     if (argc < 3) {
-        std::cerr << "expected: CALLS STARTS...\n";
+        std::cerr << "usage: filbert-history-check CALLS STARTS...\n";
         return 2;
     }
     std::ifstream callFile {argv[1]};
@@ -20,8 +23,8 @@
     std::vector<start_record> starts;
     for (int i = 2; i < argc; ++i) {
         std::ifstream startFile {argv[i]};
-        const auto more = readStartRecords(startFile);
-        starts.insert(starts.end(), more.begin(), more.end());
+        const auto records = readStartRecords(startFile);
+        starts.insert(starts.end(), records.begin(), records.end());
     }
     const auto violations = findViolations(calls, starts, {"die", "die-order", "receipt"});
     for (const auto &violation : violations) {
--- a/extras/history_check/history.cpp
+++ b/extras/history_check/history.cpp
@@ -49,25 +49,29 @@
                                         const std::vector<std::string> &nonIdempotent)
 {
     std::vector<std::string> violations;
-    std::map<std::string, int> startsOf;
+    std::map<std::string, int> startCounts;
     std::set<std::string> placements;
     for (const auto &start : starts) {
-        const bool isOnce = std::find(nonIdempotent.begin(), nonIdempotent.end(), start.service)
+        const bool isNonIdempotent =
+            std::find(nonIdempotent.begin(), nonIdempotent.end(), start.service)
             != nonIdempotent.end();
-        if (++startsOf[start.body] > 1 && isOnce) {
-            violations.push_back("a non-idempotent request ran twice: " + start.body);
+        if (++startCounts[start.body] > 1 && isNonIdempotent) {
+            violations.push_back("a non-idempotent request was started more than once: "
+                                 + start.body);
         }
         if (!placements.insert(start.placement).second) {
-            violations.push_back("a placement was started twice: " + start.placement);
+            violations.push_back("a placement was started more than once: " + start.placement);
         }
     }
     for (const auto &call : calls) {
-        const bool hasStarted = startsOf.contains(call.body);
+        const bool hasStarted = startCounts.contains(call.body);
         if (call.outcome == "not_run" && hasStarted) {
-            violations.push_back("a refusal said not run, but it ran: " + call.body);
+            violations.push_back("a request that was refused as not run has been started: "
+                                 + call.body);
         }
         if (call.status == statusOk && !hasStarted) {
-            violations.push_back("an answer came for what never ran: " + call.body);
+            violations.push_back("a request was answered successfully but never started: "
+                                 + call.body);
         }
     }
     return violations;
--- a/extras/history_check/history.h
+++ b/extras/history_check/history.h
@@ -6,7 +6,7 @@
 
 namespace filbert {
 
-/** What a caller saw of one request, as filbert-load records it. */
+/** The result of one request as the caller saw it, recorded by filbert-load. */
 struct caller_record
 {
     std::string body;
@@ -15,7 +15,7 @@
     std::string outcome; // "ran", "not_run" or "may_have_run"
 };
 
-/** A start, as a stand-in target records it. */
+/** The start of a placement, recorded by a stand-in target. */
 struct start_record
 {
     std::string placement;
@@ -24,18 +24,18 @@
     std::string body;
 };
 
-/** Reads lines of `body service status outcome`. */
+/** Reads lines of the form `body service status outcome`; other lines are ignored. */
 std::vector<caller_record> readCallerRecords(std::istream &stream);
 
-/** Reads lines of `placement target service body`. */
+/** Reads lines of the form `placement target service body`; other lines are ignored. */
 std::vector<start_record> readStartRecords(std::istream &stream);
 
-/** Checks the promises that callers' and targets' records together can show.
+/** Checks the guarantees that can be verified from the records of callers and targets.
 
-    @param calls          every request, each body sent once
-    @param starts         every start on every target
-    @param nonIdempotent  services whose requests run at most once
-    @return each broken promise in words; empty if all hold
+    @param calls          all requests; each body was sent once
+    @param starts         all starts on all targets
+    @param nonIdempotent  services whose requests must run at most once
+    @return a description of each violation; empty if there is none
 */
 std::vector<std::string> findViolations(const std::vector<caller_record> &calls,
                                         const std::vector<start_record> &starts,
--- a/extras/history_check/linearizability.h
+++ b/extras/history_check/linearizability.h
@@ -17,75 +17,75 @@
 template <typename Call>
 struct history_operation
 {
-    std::int64_t invokedAt = 0; // any clock that all operations share
-    std::int64_t returnedAt = neverReturned; // then it may have taken effect, or may not
+    std::int64_t invokedAt = 0; // on a clock that all operations share
+    std::int64_t returnedAt = neverReturned; // without a return, whether it took effect is unknown
     Call call;
 };
 
-/** Whether some order of a history's operations explains all their results: each takes effect at
-   one moment between its call and its return.
+/** Checks whether a concurrent history is linearizable: whether some order of its operations, each
+    taking effect at one moment between its invocation and its return, explains all results.
 
-    The search of Wing and Gong (1993) with the memory of Lowe (2017): configurations that were seen
-    before are not tried again.
+    Implements the search of Wing and Gong (1993) with the memoisation of Lowe (2017): a combination
+    of linearized operations and state that was visited before is not explored again.
 
     @param history  operations in any order
-    @param state    what it starts from; copyable
-    @param step     `bool (State &, const Call &, bool hasReturned)`: takes the call into the state
-   and says whether its result is right; of one that has not returned any result is
-    @param name     `std::string (const State &)`: the same for equal states only
+    @param apply    `bool (State &, const Call &, bool hasReturned)`: applies a call to the state
+                    and returns whether its result is allowed; a call that has not returned may have
+                    any result
+    @param encode   `std::string (const State &)`: returns equal texts for equal states only
 */
-template <typename State, typename Call, typename Step, typename Name>
+template <typename State, typename Call, typename Apply, typename Encode>
 class linearizability_search
 {
 public:
-    linearizability_search(std::vector<history_operation<Call>> history, Step step, Name name)
+    linearizability_search(std::vector<history_operation<Call>> history, Apply apply, Encode encode)
         : history {std::move(history)}
-        , step {std::move(step)}
-        , name {std::move(name)}
+        , apply {std::move(apply)}
+        , encode {std::move(encode)}
     {
         std::sort(this->history.begin(), this->history.end(),
                   [](const auto &a, const auto &b) { return a.invokedAt < b.invokedAt; });
-        isTaken.assign(this->history.size(), '0');
+        isLinearized.assign(this->history.size(), '0');
     }
 
-    /** @return whether there is such an order */
+    /** @param state  the initial state; copyable @return whether the history is linearizable */
     bool run(const State &state)
     {
-        if (!seen.insert(isTaken + name(state)).second) {
+        if (!visited.insert(isLinearized + encode(state)).second) {
             return false;
         }
         auto firstReturn = neverReturned;
         for (std::size_t i = 0; i < history.size(); ++i) {
-            if (isTaken[i] == '0') {
+            if (isLinearized[i] == '0') {
                 firstReturn = std::min(firstReturn, history[i].returnedAt);
             }
         }
         if (firstReturn == neverReturned) {
-            return true; // what is left may never have taken effect
+            return true; // the remaining calls never returned and may have had no effect
         }
         for (std::size_t i = 0; i < history.size() && history[i].invokedAt <= firstReturn; ++i) {
-            if (isTaken[i] != '0') {
+            if (isLinearized[i] != '0') {
                 continue;
             }
             auto next = state;
-            if (!step(next, history[i].call, history[i].returnedAt != neverReturned)) {
+            if (!apply(next, history[i].call, history[i].returnedAt != neverReturned)) {
                 continue;
             }
-            isTaken[i] = '1';
+            isLinearized[i] = '1';
             if (run(next)) {
                 return true;
             }
-            isTaken[i] = '0';
+            isLinearized[i] = '0';
         }
         return false;
     }
 
 private:
     std::vector<history_operation<Call>> history;
-    Step step;
-    Name name;
-    std::string isTaken; // a character for each operation
-    std::set<std::string> seen;
+    Apply apply;
+    Encode encode;
+    std::string isLinearized; // '1' or '0' for each operation
+    std::set<std::string> visited;
 };
 
 } // namespace filbert
--- a/extras/history_check/tests/configuration_history_test.cpp
+++ b/extras/history_check/tests/configuration_history_test.cpp
@@ -27,36 +27,37 @@
 
 } // namespace
 
-TEST_CASE("right histories of changes can be put into an order")
+TEST_CASE("linearizable histories of configuration changes are accepted")
 {
-    CHECK(isConfigurationHistoryRight({}));
-    // Two with one base at once: whichever came first, the other conflicts.
-    CHECK(isConfigurationHistoryRight(
+    CHECK(isConfigurationHistoryLinearizable({}));
+    // Two concurrent changes with the same base: one is accepted, the other conflicts.
+    CHECK(isConfigurationHistoryLinearizable(
         {accepted(0, 9, "a", 0, 1), conflict(1, 8, "b", 0), accepted(10, 12, "c", 1, 2)}));
-    // A lost answer, found again by its resend, after another operator has built on it.
-    CHECK(isConfigurationHistoryRight(
+    // The answer to a change is lost, another operator builds on it, and a resend gets the answer.
+    CHECK(isConfigurationHistoryLinearizable(
         {unanswered(0, "a", 0), accepted(5, 6, "b", 1, 2), accepted(7, 8, "a", 0, 1)}));
-    // A lost change that never took effect.
-    CHECK(isConfigurationHistoryRight({unanswered(0, "a", 0), accepted(5, 6, "b", 0, 1)}));
+    // A change without an answer that never took effect.
+    CHECK(isConfigurationHistoryLinearizable({unanswered(0, "a", 0), accepted(5, 6, "b", 0, 1)}));
 }
 
-TEST_CASE("planted wrong histories of changes are rejected")
+TEST_CASE("histories of configuration changes that aren't linearizable are rejected")
 {
-    // Both of two with one base are accepted.
+    // Two changes with the same base are both accepted.
     CHECK_FALSE(
-        isConfigurationHistoryRight({accepted(0, 9, "a", 0, 1), accepted(1, 8, "b", 0, 1)}));
-    // A version is skipped that nobody can have made.
+        isConfigurationHistoryLinearizable({accepted(0, 9, "a", 0, 1), accepted(1, 8, "b", 0, 1)}));
+    // A change is based on a version that no change has created.
     CHECK_FALSE(
-        isConfigurationHistoryRight({accepted(0, 1, "a", 0, 1), accepted(2, 3, "b", 2, 3)}));
-    // The accepted version reverts: a later change is accepted on an earlier base.
-    CHECK_FALSE(isConfigurationHistoryRight(
+        isConfigurationHistoryLinearizable({accepted(0, 1, "a", 0, 1), accepted(2, 3, "b", 2, 3)}));
+    // The accepted version is reverted: a later change is accepted on an earlier base.
+    CHECK_FALSE(isConfigurationHistoryLinearizable(
         {accepted(0, 1, "a", 0, 1), accepted(2, 3, "b", 1, 2), accepted(4, 5, "c", 1, 2)}));
-    // A resend is taken as a new change.
-    CHECK_FALSE(isConfigurationHistoryRight(
+    // A resend is accepted as a new change.
+    CHECK_FALSE(isConfigurationHistoryLinearizable(
         {accepted(0, 1, "a", 0, 1), accepted(2, 3, "b", 1, 2), accepted(4, 5, "a", 2, 3)}));
-    // A conflict although nothing else had been changed before it ended.
-    CHECK_FALSE(isConfigurationHistoryRight({conflict(0, 1, "a", 0), accepted(2, 3, "b", 0, 1)}));
-    // In real time, the second began after the first had ended.
+    // A change conflicts although no other change was sent before it returned.
     CHECK_FALSE(
-        isConfigurationHistoryRight({accepted(10, 11, "a", 0, 1), accepted(0, 5, "b", 1, 2)}));
+        isConfigurationHistoryLinearizable({conflict(0, 1, "a", 0), accepted(2, 3, "b", 0, 1)}));
+    // The change with the later version returned before the one it is based on was invoked.
+    CHECK_FALSE(isConfigurationHistoryLinearizable(
+        {accepted(10, 11, "a", 0, 1), accepted(0, 5, "b", 1, 2)}));
 }
--- a/extras/history_check/tests/history_test.cpp
+++ b/extras/history_check/tests/history_test.cpp
@@ -12,23 +12,24 @@
 
 } // namespace
 
-TEST_CASE("a right history has no violation")
+TEST_CASE("a history that keeps all guarantees has no violations")
 {
     CHECK(findViolations(calls, starts, {"die"}).empty());
     auto retried = starts;
-    retried.push_back({"3", "t2", "quote", "a"}); // idempotent: it may run again elsewhere
+    retried.push_back(
+        {"3", "t2", "quote", "a"}); // an idempotent request may run again on another target
     CHECK(findViolations(calls, retried, {"die"}).empty());
 }
 
-TEST_CASE("each planted violation is found")
+TEST_CASE("each kind of violation is reported")
 {
     const auto withStart = [](const start_record &start) {
         auto changed = starts;
         changed.push_back(start);
         return findViolations(calls, changed, {"die"});
     };
-    CHECK(withStart({"3", "t1", "die", "b"}).size() == 1); // ran twice
-    CHECK(withStart({"3", "t1", "die", "c"}).size() == 1); // told not run
-    CHECK(withStart({"2", "t1", "quote", "z"}).size() == 1); // one placement, two places
-    CHECK(findViolations(calls, {starts[0]}, {"die"}).size() == 1); // answered, never ran
+    CHECK(withStart({"3", "t1", "die", "b"}).size() == 1); // non-idempotent, but ran twice
+    CHECK(withStart({"3", "t1", "die", "c"}).size() == 1); // refused as not run, but ran
+    CHECK(withStart({"2", "t1", "quote", "z"}).size() == 1); // one placement on two targets
+    CHECK(findViolations(calls, {starts[0]}, {"die"}).size() == 1); // answered, but never ran
 }
--- a/extras/random_run/random_cell.cpp
+++ b/extras/random_run/random_cell.cpp
@@ -198,7 +198,7 @@
     }
     FILBERT_INVARIANT(view.cell.configuration.version() >= knownVersion,
                       "an accepted configuration is never reverted");
-    FILBERT_INVARIANT(isConfigurationHistoryRight(configurationHistory),
+    FILBERT_INVARIANT(isConfigurationHistoryLinearizable(configurationHistory),
                       "the history of configuration changes is linearizable");
     for (const auto &host : controllers) {
         FILBERT_INVARIANT(host->running && host->running->view().log.digest == view.log.digest,
