--- a/extras/policy_bench/filbert_policy_bench.cpp
+++ b/extras/policy_bench/filbert_policy_bench.cpp
@@ -1,6 +1,7 @@
-/** @file filbert-policy-bench: the policy against baselines, and the cost of its decisions.
+/** @file filbert-policy-bench: compares the scheduling policy with baselines and measures the cost
+    of its decisions.
 
-    Prints one line of key=value pairs for each trial; scripts/plot_policy.py draws from them.
+    Prints one line of key=value pairs for each trial, which scripts/plot_policy.py plots.
 */
 
 #include "policy_trial.h"
@@ -10,12 +11,12 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_string(trial, "policies", "policies, mishaps, size or memory");
-DEFINE_string(seeds, "1,2", "seeds of the arrivals, comma-separated");
+DEFINE_string(trial, "policies", "kind of trial: policies, mishaps, size or memory");
+DEFINE_string(seeds, "1,2", "seeds of the arrival times, comma-separated");
 DEFINE_int64(length_ms, 660'000, "length of a trial in virtual time");
-DEFINE_double(history_weight, -1, "of the policy; below 0 = its own");
-DEFINE_double(urgent_reserve, -1, "of the policy; below 0 = its own");
-DEFINE_string(only, "", "run only this policy");
+DEFINE_double(history_weight, -1, "the policy's history weight; below 0 = its default");
+DEFINE_double(urgent_reserve, -1, "the policy's urgent reserve fraction; below 0 = its default");
+DEFINE_string(only, "", "run only the policy of this name; empty = all");
 
 namespace filbert {
 
@@ -35,7 +36,8 @@
     {policy_kind::StrictPriority, "strict_priority"},
 };
 
-/** The co-operative at its peak: quotes at once, reports and proofs that would fill everything. */
+/** A co-operative at peak load: urgent quotes, and enough reports and proofs to fill all targets.
+ */
 trial_plan cooperativePlan()
 {
     trial_plan plan;
@@ -67,7 +69,8 @@
     return plan;
 }
 
-/** The Trust before the evening crowds: badges at once, portraits and screening behind. */
+/** A trust before the evening peak: urgent badges, and portraits and screening in the background.
+ */
 trial_plan trustPlan()
 {
     trial_plan plan;
@@ -100,11 +103,11 @@
     return plan;
 }
 
-trial_plan withMishaps(trial_plan plan)
+trial_plan withFaults(trial_plan plan)
 {
     plan.name += "_mishaps";
     plan.cancelAtMs = 200'000;
-    plan.poisonAtMs = 300'000;
+    plan.failTargetsAtMs = 300'000;
     plan.loseDomainAtMs = 420'000;
     plan.sizeErrorLog10 = 0.3;
     return plan;
@@ -124,25 +127,28 @@
 }
 
 void print(const trial_plan &plan, const char *policy, const std::string &seed,
-           const trial_figures &f)
+           const trial_results &results)
 {
     std::cout << "trial=" << plan.name << " policy=" << policy << " seed=" << seed
-              << " urgent_p50_ms=" << f.urgent.p50 << " urgent_p99_ms=" << f.urgent.p99
-              << " batch_p50_ms=" << f.batch.p50 << " batch_p99_ms=" << f.batch.p99
-              << " gang_p50_ms=" << f.gang.p50 << " gang_p99_ms=" << f.gang.p99
-              << " gangs_started=" << f.gang.count << " slot_use=" << f.slotUse
-              << " core_use=" << f.coreUse << " accelerator_use=" << f.acceleratorUse
-              << " share_mean=" << f.shareDistanceMean << " share_worst=" << f.shareDistanceWorst
-              << " wasted=" << f.wastedPart << " decision_p50_us=" << f.decisionP50Us
-              << " decision_p99_us=" << f.decisionP99Us << " placements=" << f.placements
-              << " refused=" << f.refused << " failed=" << f.failed << std::endl;
+              << " urgent_p50_ms=" << results.urgent.p50 << " urgent_p99_ms=" << results.urgent.p99
+              << " batch_p50_ms=" << results.batch.p50 << " batch_p99_ms=" << results.batch.p99
+              << " gang_p50_ms=" << results.gang.p50 << " gang_p99_ms=" << results.gang.p99
+              << " gangs_started=" << results.gang.count << " slot_use=" << results.slotUse
+              << " core_use=" << results.coreUse << " accelerator_use=" << results.acceleratorUse
+              << " share_mean=" << results.shareDeviationMean
+              << " share_worst=" << results.shareDeviationWorst
+              << " wasted=" << results.wastedFraction
+              << " decision_p50_us=" << results.decisionP50Us
+              << " decision_p99_us=" << results.decisionP99Us
+              << " placements=" << results.placements << " refused=" << results.refused
+              << " failed=" << results.failed << std::endl;
 }
 
-void runPolicies(bool hasMishaps)
+void runPolicies(bool hasFaults)
 {
     for (auto plan : {cooperativePlan(), trustPlan()}) {
-        if (hasMishaps) {
-            plan = withMishaps(plan);
+        if (hasFaults) {
+            plan = withFaults(plan);
         }
         plan.lengthMs = FLAGS_length_ms;
         for (const auto &seed : splitList(FLAGS_seeds)) {
@@ -156,7 +162,8 @@
     }
 }
 
-/** The cost of a decision as targets and teams grow, each cell about 95 % full. */
+/** Measures the cost of a decision for growing numbers of targets and teams, with about 95 % of
+   each cell in use. */
 void runSizes()
 {
     for (const int targets : {48, 200, 800, 3'200, 14'000}) {
@@ -203,18 +210,18 @@
     return 0;
 }
 
-/** Memory for each running task in the scheduler, 14,000 targets. */
+/** Measures the scheduler's memory for each running task, with 14,000 targets. */
 void runMemory()
 {
     scheduler_state scheduler;
     constexpr int targets = 14'000;
     for (int i = 0; i < targets; ++i) {
-        target_entry view;
-        view.name = "host" + std::to_string(i);
-        view.failureDomain = "d" + std::to_string(i % 8);
-        view.capacity = {64'000, 256'000, 0, 18};
-        view.services = {"work"};
-        updateTarget(scheduler, view, true);
+        target_entry entry;
+        entry.name = "host" + std::to_string(i);
+        entry.failureDomain = "d" + std::to_string(i % 8);
+        entry.capacity = {64'000, 256'000, 0, 18};
+        entry.services = {"work"};
+        updateTarget(scheduler, entry, true);
     }
     const auto before = residentKb();
     std::cout << "tasks=0 resident_kb=" << before << "\n";
@@ -243,7 +250,8 @@
 int main(int argc, char **argv)
 {
     using namespace filbert;
-    settings_check check {readSettings(&argc, &argv, "The policy against baselines.")};
+    settings_check check {
+        readSettings(&argc, &argv, "Compares the scheduling policy with baselines.")};
     startLog(argv[0]);
     silenceLog();
     if (!check.isValid()) {
--- a/extras/policy_bench/policy_trial.cpp
+++ b/extras/policy_bench/policy_trial.cpp
@@ -9,29 +9,31 @@
 
 namespace {
 
-constexpr std::int64_t outageMs = 60'000;
-constexpr std::int64_t urgentPatienceMs = 5'000;
-constexpr std::int64_t stopMs = 200; // from the order to stop until the room is free
-constexpr std::int64_t sampleMs = 500;
-constexpr std::int64_t poisonedRunMs = 100;
+constexpr std::int64_t faultDurationMs = 60'000;
+constexpr std::int64_t urgentStartTimeoutMs = 5'000;
+constexpr std::int64_t stopDelayMs = 200; // from the stop order until the capacity is free
+constexpr std::int64_t sampleIntervalMs = 500;
+constexpr std::int64_t failingRunMs = 100;
 
-double percentileOf(std::vector<double> values, double part)
+double percentileOf(std::vector<double> values, double fraction)
 {
     if (values.empty()) {
         return 0;
     }
-    const auto rank = static_cast<std::size_t>(part * static_cast<double>(values.size() - 1));
+    const auto rank = static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1));
     std::nth_element(values.begin(), values.begin() + static_cast<std::ptrdiff_t>(rank),
                      values.end());
     return values[rank];
 }
 
-wait_figures figuresOf(const std::vector<double> &waits)
+wait_statistics statisticsOf(const std::vector<double> &waits)
 {
     return {waits.size(), percentileOf(waits, 0.5), percentileOf(waits, 0.99)};
 }
 
-/** One trial under way: arrivals, ends and mishaps by time, around the product's scheduler. */
+/** Discrete-event simulation that drives the production scheduler with arrivals, task ends and
+    faults.
+*/
 class trial
 {
 public:
@@ -46,25 +48,25 @@
         setUrgentServices(scheduler, plan.urgentServices);
         addTargets();
         for (std::size_t i = 0; i < plan.streams.size(); ++i) {
-            planArrivals(i);
+            scheduleArrivals(i);
         }
     }
 
-    trial_figures run()
+    trial_results run()
     {
         while (!events.empty() && events.top().at <= plan.lengthMs) {
             now = events.top().at;
             while (!events.empty() && events.top().at == now) {
                 const auto event = events.top();
                 events.pop();
-                take(event);
+                handleEvent(event);
             }
-            takeMishaps();
+            injectFaults();
             endExpiredQuarantines(scheduler, {now});
-            decide();
+            runScheduler();
             sample();
         }
-        return figures();
+        return computeResults();
     }
 
 private:
@@ -73,21 +75,21 @@
     struct event
     {
         std::int64_t at = 0;
-        std::uint64_t order = 0;
+        std::uint64_t number = 0;
         event_kind kind = event_kind::Arrival;
-        std::uint64_t subject = 0; // stream or placement
+        std::uint64_t subject = 0; // index of a stream, or placement id
 
         bool operator<(const event &other) const
         {
-            return at != other.at ? at > other.at : order > other.order;
+            return at != other.at ? at > other.at : number > other.number;
         }
     };
 
-    struct running_run
+    struct task_run
     {
         std::size_t stream = 0;
         std::int64_t since = 0;
-        bool isPoisoned = false;
+        bool isFailing = false;
         work_item item;
         std::int32_t task = 0;
     };
@@ -97,49 +99,49 @@
         int number = 0;
         for (const auto &group : plan.groups) {
             for (int i = 0; i < group.count; ++i, ++number) {
-                target_entry view;
-                view.name = group.name + std::to_string(i);
-                view.failureDomain = "d" + std::to_string(number % 3);
-                view.capacity = group.capacity;
-                view.services = group.services;
-                views.push_back(view);
-                updateTarget(scheduler, view, true);
+                target_entry entry;
+                entry.name = group.name + std::to_string(i);
+                entry.failureDomain = "d" + std::to_string(number % 3);
+                entry.capacity = group.capacity;
+                entry.services = group.services;
+                targetEntries.push_back(entry);
+                updateTarget(scheduler, entry, true);
             }
         }
     }
 
-    void at(std::int64_t when, event_kind kind, std::uint64_t subject)
+    void scheduleEvent(std::int64_t when, event_kind kind, std::uint64_t subject)
     {
-        events.push({when, ++lastOrder, kind, subject});
+        events.push({when, ++lastEventNumber, kind, subject});
     }
 
-    void planArrivals(std::size_t stream)
+    void scheduleArrivals(std::size_t stream)
     {
         const auto &work = plan.streams[stream];
-        std::mt19937_64 own {random()};
-        if (work.perSecond > 0) {
-            std::exponential_distribution<double> gap {work.perSecond / 1'000};
-            for (double when = gap(own); when < static_cast<double>(plan.lengthMs);
-                 when += gap(own)) {
-                at(static_cast<std::int64_t>(when), event_kind::Arrival, stream);
+        std::mt19937_64 generator {random()};
+        if (work.arrivalsPerSecond > 0) {
+            std::exponential_distribution<double> gap {work.arrivalsPerSecond / 1'000};
+            for (double when = gap(generator); when < static_cast<double>(plan.lengthMs);
+                 when += gap(generator)) {
+                scheduleEvent(static_cast<std::int64_t>(when), event_kind::Arrival, stream);
             }
         }
-        if (work.burstEveryMs > 0) {
-            for (std::int64_t when = 0; when < plan.lengthMs; when += work.burstEveryMs) {
-                at(when, event_kind::Burst, stream);
+        if (work.burstPeriodMs > 0) {
+            for (std::int64_t when = 0; when < plan.lengthMs; when += work.burstPeriodMs) {
+                scheduleEvent(when, event_kind::Burst, stream);
             }
         }
         std::lognormal_distribution<double> length {
-            std::log(work.meanRunMs) - work.runSpread * work.runSpread / 2, work.runSpread};
-        lengths.push_back(length);
+            std::log(work.meanRunMs) - work.runLogSigma * work.runLogSigma / 2, work.runLogSigma};
+        runLengths.push_back(length);
         generators.push_back(std::mt19937_64 {random()});
     }
 
-    void arrive(std::size_t stream)
+    void handleArrival(std::size_t stream)
     {
         const auto &work = plan.streams[stream];
         work_item item;
-        item.workId = ++lastTicket;
+        item.workId = ++lastWorkId;
         item.kind = work.kind;
         item.team = work.team;
         item.service = work.service;
@@ -152,41 +154,41 @@
             item.tasks.push_back(i);
         }
         if (work.kind == work_class::Urgent) {
-            item.startDeadline = {now + urgentPatienceMs};
-            at(now + urgentPatienceMs, event_kind::Wake, 0);
-            at(now + scheduler.settings.preemptionDelay.count, event_kind::Wake, 0);
+            item.startDeadline = {now + urgentStartTimeoutMs};
+            scheduleEvent(now + urgentStartTimeoutMs, event_kind::Wake, 0);
+            scheduleEvent(now + scheduler.settings.preemptionDelay.count, event_kind::Wake, 0);
         }
-        known[item.workId] = {stream, now, false, item, 0};
-        const auto ticket = item.workId;
+        arrivedWork[item.workId] = {stream, now, false, item, 0};
+        const auto workId = item.workId;
         if (addWork(scheduler, std::move(item), {now})) {
             ++result.refused;
-            known.erase(ticket);
+            arrivedWork.erase(workId);
         }
     }
 
-    void take(const event &event)
+    void handleEvent(const event &event)
     {
         switch (event.kind) {
         case event_kind::Arrival:
-            arrive(event.subject);
+            handleArrival(event.subject);
             break;
         case event_kind::Burst:
             for (int i = 0; i < plan.streams[event.subject].burstSize; ++i) {
-                arrive(event.subject);
+                handleArrival(event.subject);
             }
             break;
         case event_kind::End:
-            end(event.subject, false);
+            endTask(event.subject, false);
             break;
         case event_kind::Stopped:
-            end(event.subject, true);
+            endTask(event.subject, true);
             break;
         case event_kind::Wake:
             break;
         }
     }
 
-    void end(std::uint64_t placement, bool isStopped)
+    void endTask(std::uint64_t placement, bool isStopped)
     {
         const auto found = running.find(placement);
         if (found == running.end()) {
@@ -195,21 +197,21 @@
         auto run = std::move(found->second);
         running.erase(found);
         const auto took = static_cast<double>(now - run.since);
-        const bool mustRunAgain = isStopped || run.isPoisoned;
+        const bool mustRetry = isStopped || run.isFailing;
         (isStopped ? wastedMs : usefulMs) += took;
         if (!isStopped) {
-            recordTaskResult(scheduler, placement, !run.isPoisoned, {now});
+            recordTaskResult(scheduler, placement, !run.isFailing, {now});
         }
-        result.failed += run.isPoisoned ? 1 : 0;
+        result.failed += run.isFailing ? 1 : 0;
         releaseTask(scheduler, placement, {now});
-        if (mustRunAgain) {
-            run.item.failures = run.isPoisoned ? 1 : 0;
+        if (mustRetry) {
+            run.item.failures = run.isFailing ? 1 : 0;
             requeueTask(scheduler, std::move(run.item), run.task, {now});
-            at(now + 500, event_kind::Wake, 0);
+            scheduleEvent(now + 500, event_kind::Wake, 0);
         }
     }
 
-    void decide()
+    void runScheduler()
     {
         const auto started = std::chrono::steady_clock::now();
         const auto decided = schedule(scheduler, {now});
@@ -221,16 +223,16 @@
         }
         result.refused += decided.refusals.size();
         for (const auto &stop : decided.stops) {
-            at(now + stopMs, event_kind::Stopped, stop.placementId);
+            scheduleEvent(now + stopDelayMs, event_kind::Stopped, stop.placementId);
         }
         for (const auto &placed : decided.placements) {
-            start(placed);
+            startTask(placed);
         }
     }
 
-    void start(const placement_decision &placed)
+    void startTask(const placement_decision &placed)
     {
-        auto &origin = known.at(placed.workId);
+        auto &origin = arrivedWork.at(placed.workId);
         const auto stream = origin.stream;
         const auto &task = scheduler.running.at(placed.placementId);
         if (now >= plan.warmUpMs) {
@@ -242,61 +244,62 @@
             ++result.placements;
         }
         const auto &target = scheduler.index.targets[placed.target];
-        const bool isPoisoned = now >= plan.poisonAtMs && now < plan.poisonAtMs + outageMs
-            && plan.poisonAtMs > 0 && target.name.ends_with("r0");
-        const auto runMs = isPoisoned
-            ? poisonedRunMs
+        const bool isFailing = now >= plan.failTargetsAtMs
+            && now < plan.failTargetsAtMs + faultDurationMs && plan.failTargetsAtMs > 0
+            && target.name.ends_with("r0");
+        const auto runMs = isFailing
+            ? failingRunMs
             : std::max<std::int64_t>(
-                1, static_cast<std::int64_t>(lengths[stream](generators[stream])));
-        running[placed.placementId] = {stream, now, isPoisoned, origin.item, placed.taskIndex};
-        at(now + runMs, event_kind::End, placed.placementId);
+                1, static_cast<std::int64_t>(runLengths[stream](generators[stream])));
+        running[placed.placementId] = {stream, now, isFailing, origin.item, placed.taskIndex};
+        scheduleEvent(now + runMs, event_kind::End, placed.placementId);
         if (plan.sizeErrorLog10 > 0) {
             std::uniform_real_distribution<double> error {-plan.sizeErrorLog10,
                                                           plan.sizeErrorLog10};
             auto used =
-                origin.item.declaredNeed; // what a task really uses does not follow what is learned
+                origin.item.declaredNeed; // actual use is independent of the learned estimate
             used.milliCores = static_cast<std::int64_t>(static_cast<double>(used.milliCores)
                                                         * std::pow(10, error(random)));
             recordUsage(scheduler, placed.placementId, used);
         }
     }
 
-    void takeMishaps()
+    void injectFaults()
     {
         if (plan.cancelAtMs > 0 && now >= plan.cancelAtMs && !hasCancelled) {
             hasCancelled = true;
-            std::vector<std::uint64_t> tickets;
-            for (const auto &[ticket, item] : scheduler.waiting) {
-                if (ticket % 2 == 0 && item.kind == work_class::Batch) {
-                    tickets.push_back(ticket);
+            std::vector<std::uint64_t> workIds;
+            for (const auto &[workId, item] : scheduler.waiting) {
+                if (workId % 2 == 0 && item.kind == work_class::Batch) {
+                    workIds.push_back(workId);
                 }
             }
-            for (const auto ticket : tickets) {
-                removeWork(scheduler, ticket);
+            for (const auto workId : workIds) {
+                removeWork(scheduler, workId);
             }
         }
-        const bool isOut = plan.loseDomainAtMs > 0 && now >= plan.loseDomainAtMs
-            && now < plan.loseDomainAtMs + outageMs;
-        if (isOut != isDomainOut) {
-            isDomainOut = isOut;
-            for (const auto &view : views) {
-                if (view.failureDomain == "d0") {
-                    loseOrReturn(view, isOut);
+        const bool isUnavailable = plan.loseDomainAtMs > 0 && now >= plan.loseDomainAtMs
+            && now < plan.loseDomainAtMs + faultDurationMs;
+        if (isUnavailable != isDomainUnavailable) {
+            isDomainUnavailable = isUnavailable;
+            for (const auto &entry : targetEntries) {
+                if (entry.failureDomain == "d0") {
+                    setUnavailable(entry, isUnavailable);
                 }
             }
         }
     }
 
-    void loseOrReturn(const target_entry &view, bool isOut)
+    void setUnavailable(const target_entry &entry, bool isUnavailable)
     {
-        updateTarget(scheduler, view, !isOut);
-        if (!isOut) {
+        updateTarget(scheduler, entry, !isUnavailable);
+        if (!isUnavailable) {
             return;
         }
-        const auto number = scheduler.index.byName.at(view.name);
+        const auto number = scheduler.index.byName.at(entry.name);
         const auto lost = scheduler.runningOnTarget[number];
         for (const auto placement : lost) {
-            end(placement, true);
+            endTask(placement, true);
         }
     }
 
@@ -305,15 +308,15 @@
         if (now < plan.warmUpMs || now < nextSample) {
             return;
         }
-        nextSample = now + sampleMs;
+        nextSample = now + sampleIntervalMs;
         resource_amounts used;
         const auto &total = scheduler.index.totalCapacity;
         for (const auto &target : scheduler.index.targets) {
             used += target.used;
         }
         ++samples;
-        slotUse += part(used.slots, total.slots);
-        coreUse += part(used.milliCores, total.milliCores);
+        slotUse += fraction(used.slots, total.slots);
+        coreUse += fraction(used.milliCores, total.milliCores);
         bool waitsForAccelerators = false;
         for (const auto &[name, team] : scheduler.teams) {
             for (const auto kind : {work_class::Batch, work_class::Gang}) {
@@ -327,32 +330,36 @@
         }
         if (waitsForAccelerators && total.accelerators > 0) {
             ++acceleratorSamples;
-            acceleratorUse += part(used.accelerators, total.accelerators);
+            acceleratorUse += fraction(used.accelerators, total.accelerators);
         }
         for (const auto &[name, team] : scheduler.teams) {
-            const bool isHungry = team.waitingCount[1] + team.waitingCount[2] > 0;
-            hungrySamples[name] += isHungry ? 1 : 0;
+            const bool hasBacklog = team.waitingCount[1] + team.waitingCount[2] > 0;
+            backloggedSamples[name] += hasBacklog ? 1 : 0;
             meanShare[name] += dominantShare(team.used, total);
         }
     }
 
-    static double part(std::int64_t used, std::int64_t total)
+    static double fraction(std::int64_t used, std::int64_t total)
     {
         return total > 0 ? static_cast<double>(used) / static_cast<double>(total) : 0;
     }
 
-    /** How far each team that always had work waiting is from its part of what those teams got
-        together that compete for the same targets. */
+    /** Measures how far the use of each backlogged team deviates from its fair fraction.
+
+        Teams count as backlogged if they had work waiting in at least 90 % of the samples. The fair
+        fraction refers to what all backlogged teams that compete for the same targets used
+        together.
+    */
     void measureShares()
     {
-        std::map<std::string, std::set<std::string>> rivals; // by service
+        std::map<std::string, std::set<std::string>> competitors; // by service
         for (const auto &work : plan.streams) {
-            if (hungrySamples[work.team] * 10 >= samples * 9) {
-                rivals[work.service].insert(work.team);
+            if (backloggedSamples[work.team] * 10 >= samples * 9) {
+                competitors[work.service].insert(work.team);
             }
         }
         int counted = 0;
-        for (const auto &[service, teams] : rivals) {
+        for (const auto &[service, teams] : competitors) {
             double sumShare = 0;
             double sumUse = 0;
             for (const auto &name : teams) {
@@ -360,27 +367,28 @@
                 sumUse += meanShare[name];
             }
             for (const auto &name : teams) {
-                const double due = plan.shares.at(name) / sumShare;
-                const double distance = std::abs(meanShare[name] / sumUse - due) / due;
-                result.shareDistanceMean += distance;
-                result.shareDistanceWorst = std::max(result.shareDistanceWorst, distance);
+                const double fairFraction = plan.shares.at(name) / sumShare;
+                const double deviation =
+                    std::abs(meanShare[name] / sumUse - fairFraction) / fairFraction;
+                result.shareDeviationMean += deviation;
+                result.shareDeviationWorst = std::max(result.shareDeviationWorst, deviation);
                 ++counted;
             }
         }
-        result.shareDistanceMean /= std::max(counted, 1);
+        result.shareDeviationMean /= std::max(counted, 1);
     }
 
-    trial_figures figures()
+    trial_results computeResults()
     {
-        result.urgent = figuresOf(urgentWaits);
-        result.batch = figuresOf(batchWaits);
-        result.gang = figuresOf(gangWaits);
+        result.urgent = statisticsOf(urgentWaits);
+        result.batch = statisticsOf(batchWaits);
+        result.gang = statisticsOf(gangWaits);
         const auto count = static_cast<double>(std::max<std::int64_t>(samples, 1));
         result.slotUse = slotUse / count;
         result.coreUse = coreUse / count;
         result.acceleratorUse =
             acceleratorUse / static_cast<double>(std::max<std::int64_t>(acceleratorSamples, 1));
-        result.wastedPart = wastedMs / std::max(wastedMs + usefulMs, 1.0);
+        result.wastedFraction = wastedMs / std::max(wastedMs + usefulMs, 1.0);
         result.decisionP50Us = percentileOf(decisionUs, 0.5);
         result.decisionP99Us = percentileOf(decisionUs, 0.99);
         measureShares();
@@ -391,36 +399,36 @@
     std::mt19937_64 random;
     scheduler_state scheduler;
     std::priority_queue<event> events;
-    std::vector<target_entry> views;
-    std::vector<std::lognormal_distribution<double>> lengths;
+    std::vector<target_entry> targetEntries;
+    std::vector<std::lognormal_distribution<double>> runLengths;
     std::vector<std::mt19937_64> generators;
-    std::unordered_map<std::uint64_t, running_run> known; // by ticket
-    std::unordered_map<std::uint64_t, running_run> running;
+    std::unordered_map<std::uint64_t, task_run> arrivedWork; // by work id
+    std::unordered_map<std::uint64_t, task_run> running;
     std::vector<double> urgentWaits;
     std::vector<double> batchWaits;
     std::vector<double> gangWaits;
     std::vector<double> decisionUs;
     std::map<std::string, double> meanShare;
-    std::map<std::string, std::int64_t> hungrySamples;
-    trial_figures result;
+    std::map<std::string, std::int64_t> backloggedSamples;
+    trial_results result;
     std::int64_t now = 0;
     std::int64_t nextSample = 0;
     std::int64_t samples = 0;
     std::int64_t acceleratorSamples = 0;
-    std::uint64_t lastOrder = 0;
-    std::uint64_t lastTicket = 0;
+    std::uint64_t lastEventNumber = 0;
+    std::uint64_t lastWorkId = 0;
     double slotUse = 0;
     double coreUse = 0;
     double acceleratorUse = 0;
     double wastedMs = 0;
     double usefulMs = 0;
     bool hasCancelled = false;
-    bool isDomainOut = false;
+    bool isDomainUnavailable = false;
 };
 
 } // namespace
 
-trial_figures runTrial(const trial_plan &plan, const policy_settings &settings, std::uint64_t seed)
+trial_results runTrial(const trial_plan &plan, const policy_settings &settings, std::uint64_t seed)
 {
     return trial {plan, settings, seed}.run();
 }
--- a/extras/policy_bench/policy_trial.h
+++ b/extras/policy_bench/policy_trial.h
@@ -10,7 +10,7 @@
 
 namespace filbert {
 
-/** A kind of work that arrives in a trial. */
+/** A stream of similar work that arrives during a trial. */
 struct work_stream
 {
     std::string team;
@@ -18,15 +18,15 @@
     work_class kind = work_class::Batch;
     resource_amounts need;
     int tasks = 1;
-    double perSecond = 0; // arrivals, Poisson
-    double meanRunMs = 1'000; // of one task, log-normal
-    double runSpread = 0.5; // sigma of the logarithm
+    double arrivalsPerSecond = 0; // mean of a Poisson process
+    double meanRunMs = 1'000; // of one task, log-normally distributed
+    double runLogSigma = 0.5; // standard deviation of the run time's logarithm
     bool isIdempotent = true;
-    std::int64_t burstEveryMs = 0; // every so often ...
-    int burstSize = 0; // ... so many at once
+    std::int64_t burstPeriodMs = 0; // 0 = no bursts
+    int burstSize = 0; // arrivals in each burst
 };
 
-/** Identical targets. */
+/** A number of identical targets. */
 struct target_group
 {
     std::string name;
@@ -35,7 +35,7 @@
     std::vector<std::string> services;
 };
 
-/** A cell and what happens to it. */
+/** The targets, teams, work and faults of a trial. A time of 0 disables a fault. */
 struct trial_plan
 {
     std::string name;
@@ -45,40 +45,40 @@
     std::set<std::string> urgentServices;
     std::int64_t lengthMs = 600'000;
     std::int64_t warmUpMs = 60'000;
-    std::int64_t cancelAtMs = 0; // half of what waits is cancelled
-    std::int64_t poisonAtMs = 0; // one target of each group fails everything for a while
-    std::int64_t loseDomainAtMs = 0; // a third of the targets goes for a minute
-    double sizeErrorLog10 = 0; // true use is declared use times up to this power of ten
+    std::int64_t cancelAtMs = 0; // half of the waiting batch work is cancelled
+    std::int64_t failTargetsAtMs = 0; // targets named "...r0" fail all tasks for a minute
+    std::int64_t loseDomainAtMs = 0; // a third of the targets is unavailable for a minute
+    double sizeErrorLog10 = 0; // actual use differs from declared use by up to this power of ten
 };
 
 /** Waiting times of one class, in milliseconds. */
-struct wait_figures
+struct wait_statistics
 {
     std::size_t count = 0;
     double p50 = 0;
     double p99 = 0;
 };
 
-/** What a trial came to. */
-struct trial_figures
+/** Measured results of a trial. */
+struct trial_results
 {
-    wait_figures urgent;
-    wait_figures batch;
-    wait_figures gang;
-    double slotUse = 0; // part of all slots, mean over time
+    wait_statistics urgent;
+    wait_statistics batch;
+    wait_statistics gang;
+    double slotUse = 0; // fraction of all slots, mean over time
     double coreUse = 0;
-    double acceleratorUse = 0; // while work for them waited
-    double shareDistanceMean = 0; // of teams with work waiting all the time, of their due part
-    double shareDistanceWorst = 0;
-    double wastedPart = 0; // task time lost by preemption, of all task time
-    double decisionP50Us = 0; // processor time for one placement
+    double acceleratorUse = 0; // mean over the time when work waited for accelerators
+    double shareDeviationMean = 0; // of backlogged teams, relative to their fair fraction
+    double shareDeviationWorst = 0;
+    double wastedFraction = 0; // task time lost to stopped tasks, of all task time
+    double decisionP50Us = 0; // elapsed time of a pass, per placement
     double decisionP99Us = 0;
     std::size_t placements = 0;
     std::size_t refused = 0;
     std::size_t failed = 0;
 };
 
-/** Runs a plan under a policy. The same seed gives the same arrivals for every policy. */
-trial_figures runTrial(const trial_plan &plan, const policy_settings &settings, std::uint64_t seed);
+/** Runs a trial under a policy. The same seed gives the same arrivals for every policy. */
+trial_results runTrial(const trial_plan &plan, const policy_settings &settings, std::uint64_t seed);
 
 } // namespace filbert
--- a/extras/random_run/fake_hosts.h
+++ b/extras/random_run/fake_hosts.h
@@ -64,6 +64,8 @@
     /** Loses power at the next sync, when the data has been written but is not durable yet. */
     void powerOffAtNextSync() { files.failSyncAt = files.syncs + 1; }
 
+    /** Stops the process. @param keepsDisk whether the durable data survives; otherwise the disk is
+        lost */
     void powerOff(bool keepsDisk)
     {
         running.reset();
@@ -98,6 +100,7 @@
         }
     }
 
+    /** Ends a pause and handles the messages that arrived meanwhile. */
     void resume()
     {
         isPaused = false;
@@ -211,7 +214,7 @@
     void respond(std::uint64_t id, http_response &&answer) override
     {
         auto found = pendingRequests.extract(id);
-        FILBERT_INVARIANT(!found.empty(), "a request is answered exactly once");
+        FILBERT_INVARIANT(!found.empty(), "a request is not answered twice");
         found.mapped()(std::move(answer));
     }
 
--- a/extras/random_run/random_cell.cpp
+++ b/extras/random_run/random_cell.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t tickMs = 10;
 constexpr std::int64_t maxClockDriftPerMille = 15;
-constexpr std::int64_t settlingPeriodMs = 90'000;
+constexpr std::int64_t settlingPeriodMs = 90'000; // after all faults have ended
 constexpr int maxApplyAttempts = 20; // of the first configuration
 
 } // namespace
--- a/extras/random_run/random_cell.h
+++ b/extras/random_run/random_cell.h
@@ -22,13 +22,13 @@
 struct run_summary
 {
     std::uint64_t digest = 0;
-    std::uint64_t steps = 0;
-    std::uint64_t starts = 0;
+    std::uint64_t steps = 0; // simulated events
+    std::uint64_t starts = 0; // of tasks, on all targets
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
     std::uint64_t unanswered = 0;
     std::uint64_t jobs = 0;
-    std::uint64_t configurations = 0;
+    std::uint64_t configurations = 0; // accepted, including repeated answers to resends
     std::uint64_t faults = 0;
     std::uint64_t replacedDisks = 0; // members replaced after the loss of their disk
     std::uint64_t plannedStops = 0; // targets that were drained before they restarted
@@ -86,6 +86,8 @@
     void simulateCaller();
     void sendService(const std::string &service, const std::string &body, const std::string &key,
                      const std::string &token);
+    /** @param revocationNumber  identifies the revocation of the key that was in force when the
+        request was sent; 0 = the key was valid */
     void handleServiceAnswer(const std::string &body, const std::string &key,
                              std::uint64_t revocationNumber, http_response &&answer);
     void submitJob();
@@ -94,19 +96,26 @@
     void applyConfiguration(std::int64_t base, bool hasSpareKey, const std::string &requestId);
     void recordChangeAnswer(std::size_t number, const http_response &answer);
     void queryVersion();
+    /** Polls until a version that revokes the spare key is in force; from then on the key must be
+        rejected. Ends when another change has been sent, which may restore the key. */
     void pollUntilInForce(std::int64_t version, std::uint64_t change);
     messages::configuration makeConfiguration(bool hasSpareKey, int variant) const;
 
     // Faults.
+    /** Injects a random fault and schedules the next one. */
     void injectNextFault();
     void crashController();
+    /** Wipes the disk of a follower, only while all controllers run as voters and no link is
+        blocked. */
     void replaceDisk();
+    /** Retries until the old identity has been removed and the host is a voting member. */
     void finishReplacement(controller_host &host, const std::string &oldIdentity);
     void pauseController();
     void partitionHost();
     void heal();
 
     gateway_host &randomGateway();
+    /** @return the leader with a valid lease, or nullptr */
     controller_host *leader();
     std::string targetNameOf(const std::string &address) const;
     void addToDigest(std::uint64_t value);
--- a/extras/random_run/random_cell_callers.cpp
+++ b/extras/random_run/random_cell_callers.cpp
@@ -50,18 +50,19 @@
     request.idempotencyKey = key;
     request.deadline = {static_cast<std::int64_t>(500 + time.randomBelow(4'000))};
     if (!key.empty()) {
-        auto &order = nonIdempotentRequests[key];
-        order.body = body;
-        order.key = key;
-        ++order.sendCount;
+        auto &sentRequest = nonIdempotentRequests[key];
+        sentRequest.body = body;
+        sentRequest.key = key;
+        ++sentRequest.sendCount;
     }
     const bool isRevoked = token == spareKey.token && isSpareKeyRevoked;
-    const auto seen = isRevoked ? configurationChangeCount + 1 : 0;
+    const auto revocationNumber = isRevoked ? configurationChangeCount + 1 : 0;
     ++summary.unanswered;
-    randomGateway().request(std::move(request), [this, body, key, seen](http_response &&answer) {
-        --summary.unanswered;
-        handleServiceAnswer(body, key, seen, std::move(answer));
-    });
+    randomGateway().request(std::move(request),
+                            [this, body, key, revocationNumber](http_response &&answer) {
+                                --summary.unanswered;
+                                handleServiceAnswer(body, key, revocationNumber, std::move(answer));
+                            });
 }
 
 void random_cell::handleServiceAnswer(const std::string &body, const std::string &key,
@@ -88,9 +89,9 @@
         checks.recordNotRun(body);
         return;
     }
-    auto &order = nonIdempotentRequests.at(key);
-    if (++order.notRunCount == order.sendCount && order.sendCount == 1) {
-        order.sendCount = 1'000; // resends may run it from now on, so its refusals aren't checked
+    auto &sentRequest = nonIdempotentRequests.at(key);
+    if (++sentRequest.notRunCount == sentRequest.sendCount && sentRequest.sendCount == 1) {
+        sentRequest.sendCount = 1'000; // a resend may still run it, so this isn't counted again
     }
 }
 
