--- a/extras/commit_bench.cpp
+++ b/extras/commit_bench.cpp
@@ -1,5 +1,5 @@
-/** @file filbert-commit-bench: how many commits a second a cell of controllers reaches, and how
-   long one takes, with so many under way at a time. It speaks to the controllers as a gateway does.
+/** @file filbert-commit-bench: measures the commit throughput and latency of a cell's controllers,
+    with a fixed number of commits in flight. It connects to the controllers as a gateway does.
 */
 
 #include "filbert_gateway/filbert_gateway.h"
@@ -14,9 +14,9 @@
 #include <memory>
 
 DEFINE_string(controllers, "127.0.0.1:7100", "IP:port of controllers, comma-separated");
-DEFINE_string(curve_site, "", "file of CURVE keys");
-DEFINE_int32(window, 1, "commits under way at a time");
-DEFINE_double(seconds, 3, "how long");
+DEFINE_string(curve_site, "", "file with the site's CURVE keys");
+DEFINE_int32(window, 1, "number of commits in flight");
+DEFINE_double(seconds, 3, "duration in seconds");
 
 namespace filbert {
 
@@ -43,22 +43,23 @@
     links = std::make_unique<controller_links>("bench", addresses, transport);
     std::vector<double> latencies;
     double longestGap = 0;
-    std::uint64_t last = 0;
-    std::uint64_t failed = 0;
+    std::uint64_t lastTargetNumber = 0;
+    std::uint64_t failedCount = 0;
     auto lastAnswer = steady::now();
-    const auto started = steady::now();
-    const auto end = started
+    const auto start = steady::now();
+    const auto end = start
         + std::chrono::duration_cast<steady::duration>(
                          std::chrono::duration<double> {FLAGS_seconds});
-    std::function<void()> next = [&] {
+    std::function<void()> sendNext = [&] {
         if (steady::now() >= end) {
             loop.stop();
             return;
         }
-        // The refused change of a job that is not there would not be logged; an announcement is.
+        // A change to a job that doesn't exist is rejected without a log entry; the announcement of
+        // a target makes one.
         messages::envelope envelope;
         auto *target = envelope.mutable_announce();
-        target->set_name("bench" + std::to_string(++last % 100));
+        target->set_name("bench" + std::to_string(++lastTargetNumber % 100));
         target->set_address("127.0.0.1:1");
         target->set_epoch(1);
         target->mutable_capacity()->set_slots(1);
@@ -68,34 +69,34 @@
             std::move(envelope), {10'000}, resend_rule::WhenUnanswered, monotonicNow(),
             [&, sent](std::error_code error, const messages::envelope &answer) {
                 const auto now = steady::now();
-                failed += error || !answer.done() ? 1 : 0;
+                failedCount += error || !answer.done() ? 1 : 0;
                 latencies.push_back(std::chrono::duration<double, std::milli>(now - sent).count());
                 longestGap =
                     std::max(longestGap,
                              std::chrono::duration<double, std::milli>(now - lastAnswer).count());
                 lastAnswer = now;
-                loop.post(next);
+                loop.post(sendNext);
             });
     };
     loop.callEvery({10}, [&] { links->tick(monotonicNow()); });
     loop.callAfter({300}, [&] {
         lastAnswer = steady::now();
         for (int i = 0; i < FLAGS_window; ++i) {
-            next();
+            sendNext();
         }
     });
     loop.run();
     std::sort(latencies.begin(), latencies.end());
-    const auto at = [&](double part) {
-        return latencies.empty()
-            ? 0.0
-            : latencies[static_cast<std::size_t>(part * static_cast<double>(latencies.size() - 1))];
+    const auto at = [&](double fraction) {
+        return latencies.empty() ? 0.0
+                                 : latencies[static_cast<std::size_t>(
+                                     fraction * static_cast<double>(latencies.size() - 1))];
     };
     std::cout << "window=" << FLAGS_window << " commits=" << latencies.size()
               << " per_second=" << static_cast<double>(latencies.size()) / FLAGS_seconds
               << " p50_ms=" << at(0.5) << " p99_ms=" << at(0.99) << " longest_gap_ms=" << longestGap
-              << " failed=" << failed << "\n";
-    return failed == 0 ? 0 : 1;
+              << " failed=" << failedCount << "\n";
+    return failedCount == 0 ? 0 : 1;
 }
 
 } // namespace
@@ -105,8 +106,9 @@
 int main(int argc, char **argv)
 {
     using namespace filbert;
-    settings_check check {readSettings(&argc, &argv, "Commits a second of a cell.")};
+    settings_check check {
+        readSettings(&argc, &argv, "Measures the commit throughput and latency of a cell.")};
     startLog(argv[0]);
-    check.require(FLAGS_window > 0, "--window: expected above 0");
+    check.require(FLAGS_window > 0, "--window: expected a number above 0");
     return check.isValid() ? run() : 2;
 }
--- a/extras/dispatch_bench.cpp
+++ b/extras/dispatch_bench.cpp
@@ -1,6 +1,7 @@
-/** @file
-    How long a leader's turn takes with many targets and a queue of waiting work, in one process
-    without a network: the cost of one placement pass and of one look through all targets.
+/** @file filbert-dispatch-bench: measures how long a leader's tick takes with many targets and a
+    queue of waiting work, in one process without a network.
+
+    A tick costs one placement pass and one scan of all targets.
 */
 
 #include "filbert_dispatch/filbert_dispatch.h"
@@ -11,9 +12,9 @@
 #include <iostream>
 
 DEFINE_int32(targets, 350, "targets");
-DEFINE_int32(jobs, 600, "jobs that are accepted at once");
-DEFINE_int32(tasks, 10, "tasks of each job");
-DEFINE_int32(turns, 200, "turns of 20 ms");
+DEFINE_int32(jobs, 600, "number of jobs that are accepted before the first tick");
+DEFINE_int32(tasks, 10, "number of tasks in each job");
+DEFINE_int32(turns, 200, "number of ticks of 20 ms");
 
 namespace filbert {
 
@@ -61,26 +62,26 @@
         apply(command);
     }
 
-    messages::target_life lifeOf(int number) const
+    messages::target_life targetReportOf(int number) const
     {
-        messages::target_life life;
-        life.set_id("i-" + std::to_string(100'000 + number));
-        life.set_born(1);
-        life.set_address("10.0.0.1:" + std::to_string(number));
-        life.set_service("orders");
-        life.mutable_capacity()->set_milli_cores(32'000);
-        life.mutable_capacity()->set_memory_mb(64'000);
-        life.add_labels("a");
-        life.add_labels("rack-" + std::to_string(number / 12));
-        life.set_clock_ms(now.ms);
-        life.set_sequence(now.ms);
-        return life;
+        messages::target_life target;
+        target.set_id("i-" + std::to_string(100'000 + number));
+        target.set_born(1);
+        target.set_address("10.0.0.1:" + std::to_string(number));
+        target.set_service("orders");
+        target.mutable_capacity()->set_milli_cores(32'000);
+        target.mutable_capacity()->set_memory_mb(64'000);
+        target.add_labels("a");
+        target.add_labels("rack-" + std::to_string(number / 12));
+        target.set_clock_ms(now.ms);
+        target.set_sequence(now.ms);
+        return target;
     }
 
-    void report()
+    void reportTargets()
     {
         for (int i = 0; i < FLAGS_targets; ++i) {
-            handleTargetReport(leader, lifeOf(i), now);
+            handleTargetReport(leader, targetReportOf(i), now);
         }
         commit();
     }
@@ -107,7 +108,7 @@
         }
     }
 
-    /** Answers every order at once, and every admission with half of the targets. */
+    /** Answers all orders immediately, and admits half of the targets of each admission request. */
     void answerAll()
     {
         for (const auto &order : std::exchange(leader.effects.orders, {})) {
@@ -144,7 +145,7 @@
     cell.configure();
     for (int i = 0; i < FLAGS_targets; ++i) {
         messages::work_command command;
-        *command.mutable_target() = cell.lifeOf(i);
+        *command.mutable_target() = cell.targetReportOf(i);
         command.mutable_target()->clear_clock_ms();
         command.mutable_target()->clear_sequence();
         cell.apply(command);
@@ -152,14 +153,14 @@
     for (int i = 0; i < FLAGS_jobs; ++i) {
         cell.submit(i);
     }
-    double steps = 0;
-    double longest = 0;
-    double answers = 0;
-    for (int turn = 0; turn < FLAGS_turns; ++turn) {
+    double tickMs = 0;
+    double longestTickMs = 0;
+    double answerMs = 0;
+    for (int tick = 0; tick < FLAGS_turns; ++tick) {
         cell.now = cell.now + milliseconds {20};
         cell.wallMs += 20;
-        if (turn % 50 == 0) {
-            cell.report();
+        if (tick % 50 == 0) {
+            cell.reportTargets();
         }
         for (int g = 0; g < 30; ++g) {
             registerCaller(cell.leader, "gateway-" + std::to_string(g), 1, cell.now);
@@ -167,13 +168,13 @@
         cell.leader.mayPlaceMore = true;
         const auto start = steady::now();
         tickDispatch(cell.leader, cell.now, cell.wallMs);
-        const auto took = millisecondsSince(start);
-        steps += took;
-        longest = std::max(longest, took);
-        const auto second = steady::now();
+        const auto elapsed = millisecondsSince(start);
+        tickMs += elapsed;
+        longestTickMs = std::max(longestTickMs, elapsed);
+        const auto answersStart = steady::now();
         cell.commit();
         cell.answerAll();
-        answers += millisecondsSince(second);
+        answerMs += millisecondsSince(answersStart);
     }
     std::size_t running = 0;
     for (const auto &[id, job] : cell.state.jobs) {
@@ -181,8 +182,8 @@
     }
     std::cout << std::fixed << std::setprecision(3) << "targets=" << FLAGS_targets
               << " jobs=" << FLAGS_jobs << " running_tasks=" << running
-              << " turn_ms=" << steps / FLAGS_turns << " longest_turn_ms=" << longest
-              << " answers_ms=" << answers / FLAGS_turns << "\n";
+              << " turn_ms=" << tickMs / FLAGS_turns << " longest_turn_ms=" << longestTickMs
+              << " answers_ms=" << answerMs / FLAGS_turns << "\n";
 }
 
 } // namespace
--- a/extras/election_bench.cpp
+++ b/extras/election_bench.cpp
@@ -1,5 +1,5 @@
-/** @file filbert-election-bench: time without a leader, over seeded trials of the replicated log in
-    virtual time with messages of 1 ms.
+/** @file filbert-election-bench: measures the time without a leader after a fault, in seeded trials
+    of the replicated log in virtual time. By default a message takes 1 ms.
 */
 
 #include "filbert_replication/filbert_replication.h"
@@ -11,32 +11,32 @@
 #include <map>
 #include <random>
 
-DEFINE_int32(trials, 2'000, "seeded trials of each kind");
+DEFINE_int32(trials, 2'000, "number of trials for each kind of fault");
 DEFINE_int32(members, 3, "members");
-DEFINE_int32(delay_ms, 1, "time of a message");
+DEFINE_int32(delay_ms, 1, "delivery time of a message, in milliseconds");
 
 namespace filbert {
 
 namespace {
 
 constexpr milliseconds tick {10};
-constexpr milliseconds settle {5'000};
-constexpr milliseconds patience {60'000};
+constexpr milliseconds settlingTime {5'000};
+constexpr milliseconds electionTimeLimit {60'000};
 
-/** Members with messages in flight; disks that sync at once. */
-class small_cell
+/** Members of a cell, the messages in flight between them, and disks that sync immediately. */
+class simulated_cell
 {
 public:
-    small_cell(int count, std::uint64_t seed)
+    simulated_cell(int count, std::uint64_t seed)
         : random {seed}
     {
-        messages::membership everybody;
+        messages::membership membership;
         for (int i = 0; i < count; ++i) {
-            auto *member = everybody.add_members();
+            auto *member = membership.add_members();
             member->set_identity("c" + std::to_string(i));
         }
-        messages::log_entry first = makeBootstrapEntry(everybody.members(0));
-        first.set_payload(everybody.SerializeAsString());
+        messages::log_entry first = makeBootstrapEntry(membership.members(0));
+        first.set_payload(membership.SerializeAsString());
         for (int i = 0; i < count; ++i) {
             stored_state stored;
             stored.identity = "c" + std::to_string(i);
@@ -46,15 +46,16 @@
         }
     }
 
-    void run(milliseconds span, const std::function<bool()> &until)
+    void run(milliseconds duration, const std::function<bool()> &until)
     {
-        const auto end = now + span;
+        const auto end = now + duration;
         while (now < end && !until()) {
             now = now + milliseconds {1};
             deliver();
             if (now.ms % tick.count == 0) {
                 for (std::size_t i = 0; i < members.size(); ++i) {
-                    act(i, [&](auto &state, auto *effects) { tickLog(state, now, effects); });
+                    runOnMember(i,
+                                [&](auto &state, auto *effects) { tickLog(state, now, effects); });
                 }
             }
         }
@@ -63,7 +64,7 @@
     int leader() const
     {
         for (std::size_t i = 0; i < members.size(); ++i) {
-            if (static_cast<int>(i) != gone && isReadyLeader(members[i])
+            if (static_cast<int>(i) != failedMember && isReadyLeader(members[i])
                 && hasLease(members[i], now)) {
                 return static_cast<int>(i);
             }
@@ -72,20 +73,20 @@
     }
 
     time_point now {1'000};
-    int gone = -1;
+    int failedMember = -1;
     bool isKilled = false;
     std::mt19937_64 random;
 
 private:
-    template <typename Step>
-    void act(std::size_t number, const Step &step)
+    template <typename Action>
+    void runOnMember(std::size_t number, const Action &action)
     {
-        if (isKilled && static_cast<int>(number) == gone) {
+        if (isKilled && static_cast<int>(number) == failedMember) {
             return;
         }
         auto &state = members[number];
         replication_effects effects;
-        step(state, &effects);
+        action(state, &effects);
         if (effects.mustPersist) {
             handlePersisted(state, lastIndex(state), now, &effects);
         }
@@ -103,8 +104,8 @@
             inFlight.erase(inFlight.begin());
             const int from = message.from()[1] - '0';
             const int to = message.to()[1] - '0';
-            if (from != gone && to != gone) {
-                act(static_cast<std::size_t>(to), [&](auto &state, auto *effects) {
+            if (from != failedMember && to != failedMember) {
+                runOnMember(static_cast<std::size_t>(to), [&](auto &state, auto *effects) {
                     handleReplicationMessage(state, message, now, effects);
                 });
             }
@@ -115,32 +116,33 @@
     std::multimap<time_point, messages::replication_message> inFlight;
 };
 
-void measure(bool isKill)
+void measure(bool kills)
 {
-    std::vector<std::int64_t> spans;
-    int never = 0;
+    std::vector<std::int64_t> durations;
+    int unresolved = 0;
     for (int trial = 0; trial < FLAGS_trials; ++trial) {
-        small_cell cell {FLAGS_members, static_cast<std::uint64_t>(trial) + 1};
-        cell.run(settle, [] { return false; });
+        simulated_cell cell {FLAGS_members, static_cast<std::uint64_t>(trial) + 1};
+        cell.run(settlingTime, [] { return false; });
         cell.run({static_cast<std::int64_t>(cell.random() % 1'000)}, [] { return false; });
-        const int old = cell.leader();
-        cell.gone = old;
-        cell.isKilled = isKill;
+        const int oldLeader = cell.leader();
+        cell.failedMember = oldLeader;
+        cell.isKilled = kills;
         const auto since = cell.now;
-        cell.run(patience, [&] { return cell.leader() >= 0; });
-        if (old < 0 || cell.leader() < 0) {
-            ++never;
+        cell.run(electionTimeLimit, [&] { return cell.leader() >= 0; });
+        if (oldLeader < 0 || cell.leader() < 0) {
+            ++unresolved;
         } else {
-            spans.push_back((cell.now - since).count);
+            durations.push_back((cell.now - since).count);
         }
     }
-    std::sort(spans.begin(), spans.end());
-    const auto at = [&](double part) {
-        return spans[static_cast<std::size_t>(part * static_cast<double>(spans.size() - 1))];
+    std::sort(durations.begin(), durations.end());
+    const auto at = [&](double fraction) {
+        return durations[static_cast<std::size_t>(fraction
+                                                  * static_cast<double>(durations.size() - 1))];
     };
-    std::cout << "fault=" << (isKill ? "kill" : "silent_cut") << " members=" << FLAGS_members
-              << " trials=" << spans.size() << " without_leader_p50_ms=" << at(0.5)
-              << " p99_ms=" << at(0.99) << " max_ms=" << at(1) << " never=" << never << "\n";
+    std::cout << "fault=" << (kills ? "kill" : "silent_cut") << " members=" << FLAGS_members
+              << " trials=" << durations.size() << " without_leader_p50_ms=" << at(0.5)
+              << " p99_ms=" << at(0.99) << " max_ms=" << at(1) << " never=" << unresolved << "\n";
 }
 
 } // namespace
--- a/extras/free_ports.cpp
+++ b/extras/free_ports.cpp
@@ -1,4 +1,7 @@
-/** @file filbert-free-ports: prints TCP ports of 127.0.0.1 that nobody listens on, for tests. */
+/** @file filbert-free-ports: prints unused TCP ports of 127.0.0.1, one per line, for tests.
+
+    Usage: filbert-free-ports [COUNT]
+*/
 
 #include <arpa/inet.h>
 #include <cstdlib>
@@ -10,7 +13,7 @@
 int main(int argc, char **argv)
 {
     const int count = argc > 1 ? std::atoi(argv[1]) : 1;
-    std::vector<int> sockets; // held until all are printed, so that none comes twice
+    std::vector<int> sockets; // kept open until all are printed, so that no port is printed twice
     for (int i = 0; i < count; ++i) {
         const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in address {};
--- a/extras/load.cpp
+++ b/extras/load.cpp
@@ -1,6 +1,8 @@
-/** @file filbert-load: an open-loop load over HTTP. Requests leave at their planned times whether
-   or not earlier ones have been answered, and latency counts from the planned time, so that waiting
-   is not left out. Every answer is checked against its request.
+/** @file filbert-load: open-loop load generator over HTTP.
+
+    Requests are sent at their scheduled times whether or not earlier ones have been answered, and
+    latency is measured from the scheduled time, so that it includes the time a request waited to be
+    sent. Every answer is checked against its request.
 */
 
 #include "filbert_messages/filbert_messages.h"
@@ -15,18 +17,21 @@
 #include <map>
 #include <random>
 
-DEFINE_string(gateways, "127.0.0.1:7000", "IP:port of gateways, used in turn");
-DEFINE_string(key, "", "token of a team's key");
-DEFINE_string(services, "quote", "services, used at random; SERVICE! sends an Idempotency-Key");
-DEFINE_double(rate, 100, "requests a second");
-DEFINE_double(seconds, 5, "how long");
-DEFINE_int32(connections, 64, "connections to each gateway");
-DEFINE_int32(deadline_ms, 5'000, "deadline of each request");
-DEFINE_uint64(seed, 1, "for arrival times and the mix");
-DEFINE_string(body, "lid", "start of each request's body; a number is added");
-DEFINE_string(direct, "", "IP:port of a stand-in target to call without gateways, as a baseline");
-DEFINE_string(record, "", "file that gets a line for each request: body, service, status, outcome");
-DEFINE_bool(expect_all, false, "exit with 1 unless every request was answered");
+DEFINE_string(gateways, "127.0.0.1:7000", "IP:port of gateways, comma-separated, used in rotation");
+DEFINE_string(key, "", "token of a team's access key");
+DEFINE_string(services, "quote",
+              "services, comma-separated, chosen at random; SERVICE! sends an Idempotency-Key");
+DEFINE_double(rate, 100, "requests per second");
+DEFINE_double(seconds, 5, "duration in seconds");
+DEFINE_int32(connections, 64, "maximum number of connections to each gateway");
+DEFINE_int32(deadline_ms, 5'000, "deadline of each request, in milliseconds");
+DEFINE_uint64(seed, 1, "seed of the sending times and the choice of services");
+DEFINE_string(body, "lid", "prefix of each request's body; a number is appended");
+DEFINE_string(direct, "",
+              "IP:port of stand-in targets to call directly, without gateways, as a baseline");
+DEFINE_string(record, "",
+              "file to write a line to for each request: body, service, status, outcome");
+DEFINE_bool(expect_all, false, "exit with 1 unless all requests were answered successfully");
 
 namespace filbert {
 
@@ -34,12 +39,12 @@
 
 using steady = std::chrono::steady_clock;
 
-constexpr milliseconds tickPeriod {1};
-constexpr milliseconds readyPeriod {100};
-constexpr milliseconds readyTimeout {500};
+constexpr milliseconds sendPeriod {1};
+constexpr milliseconds probePeriod {100};
+constexpr milliseconds probeTimeout {500};
 constexpr double millisecondsPerSecond = 1'000;
-constexpr int exitNotAll = 1;
-constexpr int exitCrossed = 2;
+constexpr int exitUnanswered = 1;
+constexpr int exitMismatched = 2;
 
 struct planned_request
 {
@@ -67,31 +72,32 @@
             record.open(FLAGS_record);
         }
         ready.assign(gateways.size(), true);
-        plan();
-        loop.callEvery(tickPeriod, [this] { sendDue(); });
+        planRequests();
+        loop.callEvery(sendPeriod, [this] { sendDue(); });
         if (FLAGS_direct.empty()) {
-            loop.callEvery(readyPeriod, [this] { askReadiness(); });
+            loop.callEvery(probePeriod, [this] { probeReadiness(); });
         }
     }
 
     int report()
     {
         std::sort(latencies.begin(), latencies.end());
-        std::cout << "sent=" << next << " answered=" << latencies.size() << " crossed=" << crossed;
+        std::cout << "sent=" << next << " answered=" << latencies.size()
+                  << " crossed=" << mismatched;
         for (const auto &[kind, count] : refused) {
             std::cout << " " << kind << "=" << count;
         }
         std::cout << "\nlatency_ms p50=" << percentile(0.5) << " p90=" << percentile(0.9)
                   << " p99=" << percentile(0.99) << " p99.9=" << percentile(0.999)
                   << " max=" << percentile(1) << "\n";
-        if (crossed > 0) {
-            return exitCrossed;
+        if (mismatched > 0) {
+            return exitMismatched;
         }
-        return FLAGS_expect_all && latencies.size() != requests.size() ? exitNotAll : 0;
+        return FLAGS_expect_all && latencies.size() != requests.size() ? exitUnanswered : 0;
     }
 
 private:
-    void plan()
+    void planRequests()
     {
         std::mt19937_64 random {FLAGS_seed};
         std::exponential_distribution<double> gap {FLAGS_rate};
@@ -121,15 +127,15 @@
         }
     }
 
-    /** As a balancer does: a gateway that is not ready gets no new requests. */
-    void askReadiness()
+    /** Probes all gateways, as a load balancer does: one that isn't ready gets no new requests. */
+    void probeReadiness()
     {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
             http_call call;
             call.endpoint = gateways[i];
             call.method = "GET";
             call.path = "/readyz";
-            call.timeout = readyTimeout;
+            call.timeout = probeTimeout;
             probes.send(std::move(call), [this, i](std::error_code error, http_response &&answer) {
                 ready[i] = !error && answer.status == 200;
             });
@@ -139,12 +145,12 @@
     const std::string &nextGateway()
     {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
-            turn = (turn + 1) % gateways.size();
-            if (ready[turn]) {
+            gatewayIndex = (gatewayIndex + 1) % gateways.size();
+            if (ready[gatewayIndex]) {
                 break;
             }
         }
-        return gateways[turn];
+        return gateways[gatewayIndex];
     }
 
     void send(const planned_request &request)
@@ -161,11 +167,12 @@
         call.timeout = {FLAGS_deadline_ms + 1'000};
         client.send(std::move(call),
                     [this, &request](std::error_code error, http_response &&answer) {
-                        take(request, error, answer);
+                        handleAnswer(request, error, answer);
                     });
     }
 
-    void take(const planned_request &request, std::error_code error, const http_response &answer)
+    void handleAnswer(const planned_request &request, std::error_code error,
+                      const http_response &answer)
     {
         std::string outcome = "ran";
         if (error) {
@@ -178,7 +185,7 @@
             outcome = problem.outcome();
             ++refused[problem.kind().empty() ? std::to_string(answer.status) : problem.kind()];
         } else if (!answer.body.ends_with("did " + request.body)) {
-            ++crossed;
+            ++mismatched;
         } else {
             latencies.push_back(millisecondsSince(request.at));
         }
@@ -188,12 +195,12 @@
         }
     }
 
-    double percentile(double part) const
+    double percentile(double fraction) const
     {
         if (latencies.empty()) {
             return 0;
         }
-        const auto rank = std::ceil(part * static_cast<double>(latencies.size()));
+        const auto rank = std::ceil(fraction * static_cast<double>(latencies.size()));
         return latencies[static_cast<std::size_t>(std::max(rank, 1.0)) - 1];
     }
 
@@ -202,13 +209,13 @@
     http_client probes;
     std::vector<std::string> gateways;
     std::vector<bool> ready;
-    std::size_t turn = 0;
+    std::size_t gatewayIndex = 0;
     std::vector<planned_request> requests;
     std::size_t next = 0;
     std::vector<double> latencies;
     std::map<std::string, int> refused;
     std::ofstream record;
-    int crossed = 0;
+    int mismatched = 0;
 };
 
 } // namespace
@@ -218,9 +225,10 @@
 int main(int argc, char **argv)
 {
     using namespace filbert;
-    settings_check check {readSettings(&argc, &argv, "An open-loop load over HTTP.")};
+    settings_check check {readSettings(&argc, &argv, "Open-loop load generator over HTTP.")};
     startLog(argv[0]);
-    check.require(FLAGS_rate > 0 && FLAGS_seconds > 0, "--rate, --seconds: expected above 0");
+    check.require(FLAGS_rate > 0 && FLAGS_seconds > 0,
+                  "--rate and --seconds: expected numbers above 0");
     if (!check.isValid()) {
         return 2;
     }
--- a/extras/measure_commits.sh
+++ b/extras/measure_commits.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Commits a second and their latency by window, for 1, 3 and 5 controllers, with real syncs; then the
-# longest gap when the leader is killed. Usage: extras/measure_commits.sh [SECONDS]
+# Measures commits per second and their latency for several numbers of commits in flight, with 1, 3 and
+# 5 controllers and real syncs to disk, then the longest gap between commits when the leader is killed.
+# Usage: extras/measure_commits.sh [SECONDS]
 set -uo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 source "$root/scripts/cell.sh"
--- a/extras/measure_configuration.sh
+++ b/extras/measure_configuration.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Time from apply to in force at 7 gateways, also with one of them silent, and loopback bytes of an idle
-# and of a changing cell. Usage: extras/measure_configuration.sh [CHANGES]
+# Measures the time from applying a configuration until it is in force at 7 gateways, with all of them
+# running and with one stopped, and the loopback traffic of an idle cell and of one whose configuration
+# changes. Usage: extras/measure_configuration.sh [CHANGES]
 set -uo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 source "$root/scripts/cell.sh"
@@ -21,12 +22,12 @@
 bytes() { awk '/lo:/ {print $2}' /proc/net/dev; }
 write 1
 ctl apply "$work/cell.yaml" --wait >/dev/null || exit 1
-b=$(bytes); sleep 10; echo "idle: loopback bytes a second for 3 controllers and 7 gateways: $((($(bytes) - b) / 10))"
+b=$(bytes); sleep 10; echo "idle: loopback bytes per second with 3 controllers and 7 gateways: $((($(bytes) - b) / 10))"
 measure() {
     for i in $(seq 1 "$changes"); do
         write "$((i + 10 + RANDOM % 1000))"
         from=$(now_ms)
-        ctl apply "$work/cell.yaml" --wait --wait_ms=10000 >/dev/null || echo "not in force"
+        ctl apply "$work/cell.yaml" --wait --wait_ms=10000 >/dev/null || echo "configuration not in force within 10 s"
         echo "$1 in_force_ms=$(($(now_ms) - from))"
     done
 }
@@ -38,4 +39,4 @@
 sleep 2
 b=$(bytes)
 for i in $(seq 1 5); do write $((2000 + i)); ctl apply "$work/cell.yaml" >/dev/null; sleep 1.9; done
-echo "changing every 2 s: loopback bytes a second with the operator's own traffic: $((($(bytes) - b) / 10))"
+echo "one change every 2 s: loopback bytes per second, including the operator's traffic: $((($(bytes) - b) / 10))"
--- a/extras/measure_gateways.sh
+++ b/extras/measure_gateways.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Loopback bytes a second of an idle cell against the number of gateways, and of controllers alone.
+# Measures the loopback traffic of an idle cell with 3 controllers for several numbers of gateways.
 # Usage: extras/measure_gateways.sh [COUNT...]
 set -uo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
--- a/extras/measure_latency.sh
+++ b/extras/measure_latency.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Latency, processor time and memory of the path at some rates; prints one block a rate.
+# Measures request latency, processor time and memory at several request rates, directly at the targets
+# and through the cell; prints one block for each rate.
 # Usage: extras/measure_latency.sh [SECONDS] [RATE...]
 set -uo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
@@ -24,7 +25,7 @@
 for i in 1 2 3 4; do start_target "$i" quote,die --key="$target_token" --slots=4000 --record=; done
 ready() { [ "$(ctl status | grep -c ' ready ')" = 4 ]; }
 eventually 20 ready || exit 1
-cpu() { # process time in ms
+cpu() { # NAME: prints the processor time that the process has used, in ms
     local id=${process_of[$1]}
     awk -v hz="$(getconf CLK_TCK)" '{print int(($14 + $15) * 1000 / hz)}' "/proc/$id/stat"
 }
--- a/extras/measure_overload.sh
+++ b/extras/measure_overload.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A cell of 24 slots under half, then twice, then half of what it can carry: what is answered and
-# refused, how long that takes, memory, and how soon it is normal again.
+# Loads a cell of 24 slots with half, then twice, then half of its capacity. Prints how many requests
+# are answered and refused, their latency, the memory used, and how fast the cell recovers.
 # Usage: extras/measure_overload.sh [SECONDS] [WORK_MS]
 set -uo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
@@ -20,7 +20,7 @@
 eventually 20 all_ready || exit 1
 capacity=$((24 * 1000 / work_ms))
 resident() { awk '/VmRSS/ {printf "%s_kb=%s ", name, $2}' name="$1" "/proc/${process_of[$1]}/status"; }
-# send RATE SECONDS: of the large team, while the small one asks for little.
+# send RATE SECONDS: sends requests of the large team, while the small team sends 20 per second.
 send() {
     "$bin/filbert-load" --gateways="$gateways_flag" --key="$small_token" --rate=20 --seconds="$2" \
         --deadline_ms=2000 >"$work/small.out" &
@@ -32,9 +32,9 @@
     for name in c1 c2 g1; do resident $name; done
     echo
 }
-echo "capacity=$capacity/s, before"; send $((capacity / 2)) "$seconds"
-echo "twice the capacity"; send $((capacity * 2)) "$seconds"
+echo "capacity=$capacity/s, before the overload"; send $((capacity / 2)) "$seconds"
+echo "at twice the capacity"; send $((capacity * 2)) "$seconds"
 for second in 1 2 3 4 5; do
-    echo "second $second after"; "$bin/filbert-load" --gateways="$gateways_flag" --key="$desk_token" \
+    echo "second $second after the overload"; "$bin/filbert-load" --gateways="$gateways_flag" --key="$desk_token" \
         --rate=$((capacity / 2)) --seconds=1 --deadline_ms=2000 | tail -n 1
 done
--- a/extras/measure_targets.sh
+++ b/extras/measure_targets.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Processor time, memory and loopback bytes against the number of targets, with 3 controllers and
-# GATEWAYS gateways; heartbeats every HEARTBEAT_MS. Usage: extras/measure_targets.sh [COUNT...]
+# Measures processor time, memory and loopback traffic for several numbers of targets, with 3
+# controllers and GATEWAYS gateways; targets send a heartbeat every HEARTBEAT_MS.
+# Usage: extras/measure_targets.sh [COUNT...]
 set -uo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 source "$root/scripts/cell.sh"
@@ -25,7 +26,7 @@
         start_target $i quote --key="$token" --count=$((count / 2)) --heartbeat_ms="$heartbeat" --record=
     done
     ready() { [ "$(ctl status | grep -c ' ready ')" = "$count" ]; }
-    eventually 60 ready || { echo "targets=$count: not all were ready"; ctl status | grep -c ' ready '; }
+    eventually 60 ready || { echo "targets=$count: not all targets were ready within 60 s; ready:"; ctl status | grep -c ' ready '; }
     cpu() { awk -v hz="$(getconf CLK_TCK)" '{print int(($14 + $15) * 1000 / hz)}' "/proc/${process_of[$1]}/stat"; }
     memory() { awk '/VmRSS/ {print $2}' "/proc/${process_of[$1]}/status"; }
     bytes() { awk '/lo:/ {print $2}' /proc/net/dev; }
--- a/extras/planted_faults.sh
+++ b/extras/planted_faults.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Plants one fault at a time into a copy of the sources and says which check of the random run
-# or of the tests catches it. Usage: extras/planted_faults.sh [SEEDS] [STEPS] [NAMES as a regular expression]
+# Mutation test: plants one fault at a time into a copy of the sources and prints which check of the
+# randomised run or which unit test detects it. Exits with 1 if a fault isn't detected.
+# Usage: extras/planted_faults.sh [SEEDS] [STEPS] [NAMES as a regular expression]
 set -uo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 seeds=${1:-40}
@@ -19,7 +20,7 @@
     cp "$2" "$copy/kept"
     sed -i -E "$3" "$2"
     if cmp -s "$2" "$copy/kept"; then
-        echo "$1: the place was not found"
+        echo "$1: no line of $2 matches the sed expression"
         missed=$((missed + 1))
         return
     fi
@@ -51,7 +52,7 @@
     's/message\.set_voted_for\(newVote\);//'
 plant "any candidate gets the vote" $replication/elections.cpp \
     's/const bool isUpToDate = .*/const bool isUpToDate = true || request.last_term() > lastTerm(state)/'
-plant "votes are given while a leader is heard" $replication/elections.cpp \
+plant "votes are granted during recent contact with a leader" $replication/elections.cpp \
     's/return now - state\.lastLeaderContactAt < state\.settings\.electionTimeout;/return state.randomState == 0 \&\& now.ms < 0;/'
 plant "a leader serves after its lease" $replication/replicated_log.cpp \
     's/&& now < state\.leaseExpiresAt$/\&\& now.ms > 0/'
@@ -65,7 +66,7 @@
     's/identity = name \+ "-" \+ std::to_string\(\+\+incarnation\);/identity = name + "-1";/'
 plant "a lease is renewed during its target's removal" modules/filbert_controller/target_leases.cpp \
     's/if \(live\.isRemovalProposed\) \{/if (live.isRemovalProposed \&\& now.ms < 0) {/'
-plant "a new leader takes old leases for ended" modules/filbert_controller/leadership.cpp \
+plant "a new leader considers old leases expired" modules/filbert_controller/leadership.cpp \
     's/live\.leaseExpiresAt = now \+ withClockRateMargin\(state\.settings\.targetLease\);/live.leaseExpiresAt = now;/'
 plant "a target's lease has no margin" modules/filbert_controller/target_leases.cpp \
     's/live\.leaseExpiresAt = now \+ withClockRateMargin\(lease\);/live.leaseExpiresAt = now + milliseconds {lease.count - 400};/'
@@ -73,21 +74,21 @@
     's/return lease\.configuration\.version\(\) > 0 && now < lease\.expiresAt;/return lease.configuration.version() > 0 \&\& now.ms > 0;/'
 plant "a lost answer counts as not run" modules/filbert_gateway/service_calls.cpp \
     's/isKnownNotRun \|\| error == error_kind::ConnectionFailed/isKnownNotRun || error/'
-plant "idempotency records are passed over" modules/filbert_cell/cell_state.cpp \
+plant "idempotency records are ignored" modules/filbert_cell/cell_state.cpp \
     's/const auto recordKey = place\.idempotency_key\(\)\.empty\(\)/const auto recordKey = !place.id() || true/'
-plant "room on a target is not checked" modules/filbert_cell/cell_state.cpp \
+plant "free capacity of a target is not checked" modules/filbert_cell/cell_state.cpp \
     's/if \(!fitsWithin\(target->second\.used \+ need, capacity\)\)/if (!fitsWithin(need, capacity))/'
-plant "a resent change is taken again" modules/filbert_cell/cell_state.cpp \
+plant "a resent change is applied again" modules/filbert_cell/cell_state.cpp \
     's/if \(const auto \*earlier = findRequest\(state, change\.request_id\(\)\)\)/if (const auto *earlier = findRequest(state, ""))/'
 plant "the base version is not checked" modules/filbert_cell/cell_state.cpp \
     's/change\.base_version\(\) != configuration\.version\(\)/change.base_version() < 0/'
 plant "a stale tail stays on the disk" modules/filbert_replication/log_access.cpp \
     's/effects->mustTruncateTail = true;.*//'
-plant "every refusal is answered at once" $replication/replicated_log.cpp \
+plant "every rejected append is retried immediately" $replication/replicated_log.cpp \
     's/^        return hasMoved;/        return true;/'
-plant "a target is called drained too early" modules/filbert_controller/target_leases.cpp \
+plant "a target is reported as drained too early" modules/filbert_controller/target_leases.cpp \
     's/live\.isLeaving && hasNoWork\(state, target\)/live.isLeaving/'
-plant "a snapshot misses what changed before its turn" modules/filbert_cell/snapshot_map.h \
+plant "a snapshot misses entries that changed before they were read" modules/filbert_cell/snapshot_map.h \
     's/savedEntries\.emplace_back\(key, value\);//'
 echo "$missed not caught"
 [ $missed -eq 0 ]
--- a/extras/relay.cpp
+++ b/extras/relay.cpp
@@ -1,10 +1,10 @@
-/** @file filbert-relay: a TCP relay that can lose track of its connections, for fault tests.
+/** @file filbert-relay: a TCP relay that injects network faults on signals, for fault tests.
 
-    SIGUSR1: connections that are open now go silent for good, new ones pass.
-    SIGUSR2: everything goes silent, or passes again.
-    SIGHUP: connections that are open now are reset.
-    SIGALRM: what comes back from the far end is swallowed, or passes again.
-    SIGVTALRM: bytes are held up for a while, or pass at once again.
+    SIGUSR1: discards all data on the connections that are open now; later connections work.
+    SIGUSR2: switches on or off that data is discarded on all connections.
+    SIGHUP: resets the connections that are open now.
+    SIGALRM: switches on or off that data from the target to the client is discarded.
+    SIGVTALRM: switches on or off that data is delayed.
 */
 
 #include <algorithm>
@@ -22,26 +22,26 @@
 
 namespace {
 
-volatile std::sig_atomic_t silenceOpen = 0;
-volatile std::sig_atomic_t silenceAll = 0;
-volatile std::sig_atomic_t resetOpen = 0;
-volatile std::sig_atomic_t silenceBack = 0;
-volatile std::sig_atomic_t holdUp = 0;
+volatile std::sig_atomic_t mustSilenceConnections = 0;
+volatile std::sig_atomic_t isSilencingAll = 0;
+volatile std::sig_atomic_t mustResetConnections = 0;
+volatile std::sig_atomic_t isSilencingReplies = 0;
+volatile std::sig_atomic_t isDelaying = 0;
 
 constexpr int pollMs = 20;
-constexpr int heldUpMicroseconds = 120'000; // longer than a try of a start
+constexpr int delayMicroseconds = 120'000; // longer than one attempt to start a task
 constexpr int backlog = 128;
 constexpr std::size_t bufferBytes = 64 * 1024;
 
 struct relayed_connection
 {
-    int near = -1;
-    int far = -1;
+    int clientSocket = -1;
+    int serverSocket = -1;
     bool isSilent = false;
     bool isClosed = false;
 };
 
-/** @param text  PORT, or IP:PORT of the loopback range */
+/** @param text  PORT or IP:PORT; without an IP address, 127.0.0.1 is used */
 sockaddr_in endpointOf(const std::string &text)
 {
     const auto colon = text.find(':');
@@ -67,25 +67,26 @@
     return true;
 }
 
-/** Moves what has come; what comes for a silent connection is read and thrown away. */
-void move(relayed_connection &connection, int from, int to, bool isBack)
+/** Forwards the data that has arrived. Data that must be discarded is read, but not forwarded. */
+void relayData(relayed_connection &connection, int from, int to, bool isReply)
 {
     static char buffer[bufferBytes];
     const auto size = recv(from, buffer, sizeof buffer, MSG_DONTWAIT);
-    const bool isSwallowed = connection.isSilent || silenceAll != 0 || (isBack && silenceBack != 0);
+    const bool isDiscarded =
+        connection.isSilent || isSilencingAll != 0 || (isReply && isSilencingReplies != 0);
     if (size == 0 || (size < 0 && errno != EAGAIN && errno != EWOULDBLOCK)) {
         connection.isClosed = true;
-    } else if (size > 0 && !isSwallowed) {
+    } else if (size > 0 && !isDiscarded) {
         connection.isClosed = !sendAll(to, buffer, static_cast<std::size_t>(size));
     }
 }
 
-/** Closes it so that the other ends see a reset. */
-void reset(const relayed_connection &connection)
+/** Closes both sockets without lingering, so that the peers see a connection reset. */
+void resetConnection(const relayed_connection &connection)
 {
-    const linger none {1, 0};
-    for (const int descriptor : {connection.near, connection.far}) {
-        setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &none, sizeof none);
+    const linger immediately {1, 0};
+    for (const int descriptor : {connection.clientSocket, connection.serverSocket}) {
+        setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &immediately, sizeof immediately);
         close(descriptor);
     }
 }
@@ -95,69 +96,71 @@
 int main(int argc, char **argv)
 {
     if (argc != 3) {
-        std::cerr << "expected: [IP:]PORT [IP:]TARGET-PORT\n";
+        std::cerr << "usage: filbert-relay [IP:]PORT [IP:]TARGET-PORT\n";
         return 2;
     }
-    std::signal(SIGUSR1, [](int) { silenceOpen = 1; });
-    std::signal(SIGUSR2, [](int) { silenceAll = 1 - silenceAll; });
-    std::signal(SIGHUP, [](int) { resetOpen = 1; });
-    std::signal(SIGALRM, [](int) { silenceBack = 1 - silenceBack; });
-    std::signal(SIGVTALRM, [](int) { holdUp = 1 - holdUp; });
+    std::signal(SIGUSR1, [](int) { mustSilenceConnections = 1; });
+    std::signal(SIGUSR2, [](int) { isSilencingAll = 1 - isSilencingAll; });
+    std::signal(SIGHUP, [](int) { mustResetConnections = 1; });
+    std::signal(SIGALRM, [](int) { isSilencingReplies = 1 - isSilencingReplies; });
+    std::signal(SIGVTALRM, [](int) { isDelaying = 1 - isDelaying; });
     const int listener = socket(AF_INET, SOCK_STREAM, 0);
-    const int yes = 1;
-    setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
-    const auto own = endpointOf(argv[1]);
-    const auto target = endpointOf(argv[2]);
-    if (bind(listener, reinterpret_cast<const sockaddr *>(&own), sizeof own) != 0
+    const int enabled = 1;
+    setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+    const auto listenAddress = endpointOf(argv[1]);
+    const auto targetAddress = endpointOf(argv[2]);
+    if (bind(listener, reinterpret_cast<const sockaddr *>(&listenAddress), sizeof listenAddress)
+            != 0
         || listen(listener, backlog) != 0) {
-        std::cerr << "cannot listen\n";
+        std::cerr << "cannot listen on the given address\n";
         return 1;
     }
     std::vector<relayed_connection> connections;
     while (true) {
-        std::vector<pollfd> polled {{listener, POLLIN, 0}};
+        std::vector<pollfd> pollEntries {{listener, POLLIN, 0}};
         for (const auto &connection : connections) {
-            polled.push_back({connection.near, POLLIN, 0});
-            polled.push_back({connection.far, POLLIN, 0});
+            pollEntries.push_back({connection.clientSocket, POLLIN, 0});
+            pollEntries.push_back({connection.serverSocket, POLLIN, 0});
         }
-        poll(polled.data(), polled.size(), pollMs);
-        if (holdUp != 0) {
-            usleep(heldUpMicroseconds);
+        poll(pollEntries.data(), pollEntries.size(), pollMs);
+        if (isDelaying != 0) {
+            usleep(delayMicroseconds);
         }
-        if (resetOpen != 0) {
-            resetOpen = 0;
-            std::for_each(connections.begin(), connections.end(), reset);
+        if (mustResetConnections != 0) {
+            mustResetConnections = 0;
+            std::for_each(connections.begin(), connections.end(), resetConnection);
             connections.clear();
             continue;
         }
-        if (silenceOpen != 0) {
-            silenceOpen = 0;
+        if (mustSilenceConnections != 0) {
+            mustSilenceConnections = 0;
             for (auto &connection : connections) {
                 connection.isSilent = true;
             }
         }
         for (std::size_t i = 0; i < connections.size(); ++i) {
             auto &connection = connections[i];
-            if (polled[1 + 2 * i].revents != 0) {
-                move(connection, connection.near, connection.far, false);
+            if (pollEntries[1 + 2 * i].revents != 0) {
+                relayData(connection, connection.clientSocket, connection.serverSocket, false);
             }
-            if (polled[2 + 2 * i].revents != 0) {
-                move(connection, connection.far, connection.near, true);
+            if (pollEntries[2 + 2 * i].revents != 0) {
+                relayData(connection, connection.serverSocket, connection.clientSocket, true);
             }
             if (connection.isClosed) {
-                close(connection.near);
-                close(connection.far);
+                close(connection.clientSocket);
+                close(connection.serverSocket);
             }
         }
         std::erase_if(connections, [](const auto &each) { return each.isClosed; });
-        if ((polled[0].revents & POLLIN) != 0) {
+        if ((pollEntries[0].revents & POLLIN) != 0) {
             relayed_connection opened;
-            opened.near = accept(listener, nullptr, nullptr);
-            opened.far = socket(AF_INET, SOCK_STREAM, 0);
-            if (connect(opened.far, reinterpret_cast<const sockaddr *>(&target), sizeof target)
+            opened.clientSocket = accept(listener, nullptr, nullptr);
+            opened.serverSocket = socket(AF_INET, SOCK_STREAM, 0);
+            if (connect(opened.serverSocket, reinterpret_cast<const sockaddr *>(&targetAddress),
+                        sizeof targetAddress)
                 != 0) {
-                close(opened.near);
-                close(opened.far);
+                close(opened.clientSocket);
+                close(opened.serverSocket);
             } else {
                 connections.push_back(opened);
             }
--- a/extras/stand_in_target.cpp
+++ b/extras/stand_in_target.cpp
@@ -1,4 +1,6 @@
-/** @file filbert-stand-in-target: targets for trials and tests, by the interface in docs/API.md. */
+/** @file filbert-stand-in-target: simulated targets for benchmarks and tests, which implement the
+    interface in docs/API.md.
+*/
 
 #include "filbert_messages/filbert_messages.h"
 #include "filbert_transport/filbert_transport.h"
@@ -12,25 +14,26 @@
 #include <memory>
 #include <set>
 
-DEFINE_string(name, "target", "name; with --count above 1, a number is added");
-DEFINE_string(listen, "127.0.0.1:7200", "IP:port for orders");
-DEFINE_string(announce, "", "IP:port that gateways reach it at; empty = --listen");
+DEFINE_string(name, "target", "name of the target; a number is appended if --count is above 1");
+DEFINE_string(listen, "127.0.0.1:7200", "IP:port to listen on for orders");
+DEFINE_string(announce, "", "IP:port at which gateways reach the target; empty = --listen");
 DEFINE_string(gateways, "127.0.0.1:7000", "IP:port of gateways, comma-separated");
 DEFINE_string(tls_certificate, "", "certificate chain file; empty = plain HTTP");
 DEFINE_string(tls_private_key, "", "private key file");
-DEFINE_string(gateway_trusted, "", "certificates to trust; empty = plain HTTP to gateways");
-DEFINE_string(key, "", "token of a target's key");
+DEFINE_string(gateway_trusted, "", "file of trusted certificates; empty = plain HTTP to gateways");
+DEFINE_string(key, "", "token of a target's access key");
 DEFINE_string(failure_domain, "d1", "failure domain");
 DEFINE_string(services, "quote", "services offered, comma-separated");
 DEFINE_int32(milli_cores, 32'000, "capacity");
 DEFINE_int32(memory_mb, 65'536, "capacity");
 DEFINE_int32(accelerators, 0, "capacity");
 DEFINE_int32(slots, 8, "capacity");
-DEFINE_int32(count, 1, "targets in this process");
-DEFINE_int32(work_ms, 0, "how long a synchronous request takes");
-DEFINE_int32(heartbeat_ms, 500, "time between heartbeats");
-DEFINE_bool(fail_all, false, "fail every task");
-DEFINE_string(record, "", "file that gets a line for each start: placement, service, body");
+DEFINE_int32(count, 1, "number of targets in this process");
+DEFINE_int32(work_ms, 0, "run time of a synchronous request, in milliseconds");
+DEFINE_int32(heartbeat_ms, 500, "interval between heartbeats, in milliseconds");
+DEFINE_bool(fail_all, false, "let all tasks fail");
+DEFINE_string(record, "",
+              "file to append a line to for each start: placement, target, service, body");
 
 namespace filbert {
 
@@ -38,48 +41,48 @@
 
 constexpr int statusRefused = 412;
 constexpr int statusAccepted = 202;
-constexpr milliseconds callTimeout {1'000}; // a quarter of a lease, so that others can be tried
+constexpr milliseconds callTimeout {1'000}; // a quarter of a lease, so there's time for retries
 constexpr milliseconds stopCheckPeriod {100};
-constexpr milliseconds drainPatience {10'000}; // then it stops although no gateway answered
+constexpr milliseconds drainTimeout {10'000}; // afterwards it stops even if no gateway has answered
 constexpr int exitInvalidSettings = 2;
-constexpr std::size_t keptStarted = 100'000;
+constexpr std::size_t maxStartedPlacements = 100'000;
 
 struct running_entry
 {
     messages::resources used;
-    time_point endsAt; // of a job's task; 0 = a synchronous request
+    time_point endsAt; // end of a job's task; 0 = a synchronous request
     bool willFail = false;
     bool isThrottled = false;
 };
 
-/** One target: what it runs, under the lease that the gateways last gave it. */
-struct stand_in
+/** One simulated target: its lease and the tasks that it runs. */
+struct stand_in_target
 {
     std::string name;
     std::int64_t epoch = 0;
     time_point leaseExpiresAt;
     std::map<std::uint64_t, running_entry> running;
-    std::map<std::uint64_t, messages::finished_task> finished; // until acknowledged
-    std::set<std::uint64_t> started;
-    std::deque<std::uint64_t> startedByAge;
+    std::map<std::uint64_t, messages::finished_task> finished; // not yet acknowledged
+    std::set<std::uint64_t> started; // placements, to reject a repeated start
+    std::deque<std::uint64_t> startedInOrder;
     bool isAnnounced = false;
     bool isCalling = false;
-    bool mayBeSilent = false; // the last call got no answer, so the next has a new connection
-    bool isDrained = false; // it leaves, and the cell has said that no more work will come
+    bool mayHaveLostConnection = false; // the last call failed: the next one needs a new connection
+    bool isDrained = false; // the cell has reported that it sends no more work
     std::size_t gateway = 0;
 };
 
-std::int64_t numberIn(const std::string &text, const std::string &name, std::int64_t otherwise)
+std::int64_t numberIn(const std::string &text, const std::string &name, std::int64_t fallback)
 {
     const auto at = text.find(name + "=");
-    std::int64_t number = otherwise;
+    std::int64_t number = fallback;
     if (at != std::string::npos) {
         std::from_chars(text.data() + at + name.size() + 1, text.data() + text.size(), number);
     }
     return number;
 }
 
-/** All targets of this process. */
+/** Runs all targets of this process on one event loop. */
 class stand_in_targets
 {
 public:
@@ -98,15 +101,15 @@
         if (!FLAGS_record.empty()) {
             record.open(FLAGS_record, std::ios::app);
         }
-        loop.callEvery({FLAGS_heartbeat_ms}, [this] { beat(); });
+        loop.callEvery({FLAGS_heartbeat_ms}, [this] { sendHeartbeats(); });
         loop.callEvery({20}, [this] { endTasks(); });
-        loop.post([this] { beat(); });
+        loop.post([this] { sendHeartbeats(); });
     }
 
     void handleRequest(http_server &server, http_request &&request)
     {
         if (request.path == "/v1/direct") {
-            http_response answer; // a baseline without the product between
+            http_response answer; // baseline that bypasses the scheduler
             answer.contentType = "text/plain";
             answer.body = FLAGS_name + " did " + request.body;
             server.respond(request.id, std::move(answer));
@@ -121,32 +124,33 @@
         }
     }
 
-    /** From now on it asks for no more work. */
-    void leave()
+    /** Reports to the cell that the targets are about to stop and take no more work. */
+    void startDraining()
     {
-        isLeaving = true;
-        leavingSince = monotonicNow();
-        beat();
+        isDraining = true;
+        drainingSince = monotonicNow();
+        sendHeartbeats();
     }
 
-    /** @return whether it may stop: nothing runs, and no request is on its way to it */
+    /** @return whether the process may stop: no task runs, and each target has been drained or the
+        drain timeout has passed */
     bool mayStop() const
     {
-        const bool isPatienceOver = monotonicNow() - leavingSince >= drainPatience;
+        const bool hasTimedOut = monotonicNow() - drainingSince >= drainTimeout;
         for (const auto &[name, target] : targets) {
-            if (!target.running.empty() || (!target.isDrained && !isPatienceOver)) {
+            if (!target.running.empty() || (!target.isDrained && !hasTimedOut)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Sends heartbeats, or announces what is not known to the cell. */
-    void beat()
+    /** Sends a heartbeat for each target, or announces those that the cell doesn't know. */
+    void sendHeartbeats()
     {
         for (auto &[name, target] : targets) {
             if (target.isAnnounced) {
-                sendBeat(target);
+                sendHeartbeat(target);
             } else {
                 announce(target);
             }
@@ -154,33 +158,33 @@
     }
 
 private:
-    /** @return why it must not start, or empty */
-    std::string whyNot(const stand_in &target, std::uint64_t placement, std::int64_t epoch,
-                       std::int64_t startBy) const
+    /** @return why a placement must not be started, or empty */
+    std::string refusalReason(const stand_in_target &target, std::uint64_t placement,
+                              std::int64_t epoch, std::int64_t startBy) const
     {
         if (epoch != target.epoch) {
-            return "another start of this target";
+            return "order is for a different epoch of this target";
         }
         if (target.started.contains(placement)) {
-            return {}; // not refused: it did start, and whoever asks again is told so
+            return {}; // a repeated order isn't refused; the caller reports that it has started
         }
         if (monotonicNow().ms > startBy || monotonicNow() > target.leaseExpiresAt) {
-            return "too late";
+            return "start deadline or lease has expired";
         }
         if (static_cast<int>(target.running.size()) >= FLAGS_slots) {
-            return "no slot";
+            return "no free slot";
         }
         return {};
     }
 
-    void note(stand_in &target, std::uint64_t placement, const std::string &service,
-              const std::string &body)
+    void recordStart(stand_in_target &target, std::uint64_t placement, const std::string &service,
+                     const std::string &body)
     {
         target.started.insert(placement);
-        target.startedByAge.push_back(placement);
-        if (target.startedByAge.size() > keptStarted) {
-            target.started.erase(target.startedByAge.front());
-            target.startedByAge.pop_front();
+        target.startedInOrder.push_back(placement);
+        if (target.startedInOrder.size() > maxStartedPlacements) {
+            target.started.erase(target.startedInOrder.front());
+            target.startedInOrder.pop_front();
         }
         if (record.is_open()) {
             record << placement << ' ' << target.name << ' ' << service << ' ' << body << std::endl;
@@ -193,12 +197,12 @@
         const auto found = targets.find(headerValue(headers, "filbert-target"));
         const auto placement =
             static_cast<std::uint64_t>(headerNumber(headers, "filbert-placement"));
-        auto why = found == targets.end()
+        auto reason = found == targets.end()
             ? "no such target"
-            : whyNot(found->second, placement, headerNumber(headers, "filbert-epoch"),
-                     headerNumber(headers, "filbert-start-by"));
-        if (!why.empty()) {
-            auto answer = problemResponse(error_kind::TargetRefused, why);
+            : refusalReason(found->second, placement, headerNumber(headers, "filbert-epoch"),
+                            headerNumber(headers, "filbert-start-by"));
+        if (!reason.empty()) {
+            auto answer = problemResponse(error_kind::TargetRefused, reason);
             answer.status = statusRefused;
             answer.headers.push_back({"filbert-placement", std::to_string(placement)});
             server.respond(request.id, std::move(answer));
@@ -210,11 +214,11 @@
                            problemResponse(error_kind::OutcomeUnknown, "started before"));
             return;
         }
-        note(target, placement, headerValue(headers, "filbert-service"), request.body);
+        recordStart(target, placement, headerValue(headers, "filbert-service"), request.body);
         target.running[placement] = {};
         const auto workMs = numberIn(request.body, "ms", FLAGS_work_ms);
-        auto answerIt = [this, &server, &target, placement, id = request.id,
-                         body = std::move(request.body)]() mutable {
+        auto sendAnswer = [this, &server, &target, placement, id = request.id,
+                           body = std::move(request.body)]() mutable {
             if (target.running.erase(placement) == 0) {
                 return;
             }
@@ -227,9 +231,9 @@
             server.respond(id, std::move(answer));
         };
         if (workMs <= 0) {
-            answerIt();
+            sendAnswer();
         } else {
-            loop.callAfter({workMs}, std::move(answerIt));
+            loop.callAfter({workMs}, std::move(sendAnswer));
         }
     }
 
@@ -242,15 +246,16 @@
             return;
         }
         const auto found = targets.find(order.target());
-        const auto why = found == targets.end()
+        const auto reason = found == targets.end()
             ? "no such target"
-            : whyNot(found->second, order.placement_id(), order.target_epoch(), order.start_by());
+            : refusalReason(found->second, order.placement_id(), order.target_epoch(),
+                            order.start_by());
         http_response answer;
-        answer.status = why.empty() ? statusAccepted : statusRefused;
+        answer.status = reason.empty() ? statusAccepted : statusRefused;
         answer.body = "{}";
-        if (why.empty() && !found->second.started.contains(order.placement_id())) {
+        if (reason.empty() && !found->second.started.contains(order.placement_id())) {
             auto &target = found->second;
-            note(target, order.placement_id(), order.service(), order.payload());
+            recordStart(target, order.placement_id(), order.service(), order.payload());
             running_entry entry;
             entry.used = order.task();
             entry.endsAt = monotonicNow() + milliseconds {numberIn(order.payload(), "ms", 100)};
@@ -277,7 +282,8 @@
         server.respond(request.id, std::move(answer));
     }
 
-    static void finish(stand_in &target, std::uint64_t placement, bool succeeded, bool stopped)
+    static void finish(stand_in_target &target, std::uint64_t placement, bool succeeded,
+                       bool stopped)
     {
         auto &report = target.finished[placement];
         report.set_placement_id(placement);
@@ -285,7 +291,7 @@
         report.set_stopped(stopped);
     }
 
-    static void stopPlacement(stand_in &target, std::uint64_t placement)
+    static void stopPlacement(stand_in_target &target, std::uint64_t placement)
     {
         const auto running = target.running.find(placement);
         if (running != target.running.end() && running->second.endsAt.ms != 0) {
@@ -298,23 +304,24 @@
     {
         const auto now = monotonicNow();
         for (auto &[name, target] : targets) {
-            bool hasNews = false;
+            bool hasFinishedTasks = false;
             for (auto at = target.running.begin(); at != target.running.end();) {
-                const bool isLate = now > target.leaseExpiresAt;
+                const bool isLeaseExpired = now > target.leaseExpiresAt;
                 const bool isDone = at->second.endsAt.ms != 0 && now >= at->second.endsAt;
-                if (isDone || isLate) {
-                    finish(target, at->first, !at->second.willFail, isLate);
-                    hasNews = true;
+                if (isDone || isLeaseExpired) {
+                    finish(target, at->first, !at->second.willFail, isLeaseExpired);
+                    hasFinishedTasks = true;
                 }
-                at = isDone || isLate ? target.running.erase(at) : std::next(at);
+                at = isDone || isLeaseExpired ? target.running.erase(at) : std::next(at);
             }
-            if (hasNews) {
-                sendBeat(target);
+            if (hasFinishedTasks) {
+                sendHeartbeat(target);
             }
         }
     }
 
-    void post(stand_in &target, const std::string &action, const google::protobuf::Message &body,
+    void post(stand_in_target &target, const std::string &action,
+              const google::protobuf::Message &body,
               std::function<void(const http_response &)> onAnswer)
     {
         target.isCalling = true;
@@ -325,21 +332,21 @@
                         {"content-type", "application/json"}};
         call.body = writeJson(body);
         call.timeout = callTimeout;
-        call.needsNewConnection = target.mayBeSilent;
+        call.needsNewConnection = target.mayHaveLostConnection;
         client.send(std::move(call),
                     [&target, onAnswer = std::move(onAnswer)](std::error_code error,
                                                               http_response &&answer) {
                         target.isCalling = false;
-                        target.mayBeSilent = static_cast<bool>(error);
+                        target.mayHaveLostConnection = static_cast<bool>(error);
                         if (error || answer.status != 200) {
-                            ++target.gateway; // another one may do better
+                            ++target.gateway; // retry with the next gateway
                             return;
                         }
                         onAnswer(answer);
                     });
     }
 
-    void announce(stand_in &target)
+    void announce(stand_in_target &target)
     {
         if (target.isCalling) {
             return;
@@ -357,11 +364,11 @@
         }
         post(target, "announce", body, [this, &target](const http_response &) {
             target.isAnnounced = true;
-            loop.post([this, &target] { sendBeat(target); });
+            loop.post([this, &target] { sendHeartbeat(target); });
         });
     }
 
-    void sendBeat(stand_in &target)
+    void sendHeartbeat(stand_in_target &target)
     {
         if (target.isCalling) {
             return;
@@ -369,7 +376,7 @@
         messages::target_heartbeat body;
         body.set_epoch(target.epoch);
         body.set_clock_ms(monotonicNow().ms);
-        body.set_leaving(isLeaving);
+        body.set_leaving(isDraining);
         for (const auto &[placement, entry] : target.running) {
             auto *task = body.add_running();
             task->set_placement_id(placement);
@@ -385,12 +392,12 @@
             messages::heartbeat_reply reply;
             std::string detail;
             if (!readJson(answer.body, &reply, &detail)) {
-                takeReply(target, reply);
+                handleHeartbeatReply(target, reply);
             }
         });
     }
 
-    void takeReply(stand_in &target, const messages::heartbeat_reply &reply)
+    void handleHeartbeatReply(stand_in_target &target, const messages::heartbeat_reply &reply)
     {
         if (reply.announce_again()) {
             target.isAnnounced = false;
@@ -402,8 +409,9 @@
             target.finished.erase(placement);
         }
         for (auto &[placement, entry] : target.running) {
-            const auto &named = reply.throttle();
-            entry.isThrottled = std::find(named.begin(), named.end(), placement) != named.end();
+            const auto &throttled = reply.throttle();
+            entry.isThrottled =
+                std::find(throttled.begin(), throttled.end(), placement) != throttled.end();
         }
         for (const auto placement : reply.stop()) {
             stopPlacement(target, placement);
@@ -413,10 +421,10 @@
     event_loop &loop;
     http_client client;
     std::vector<std::string> gateways;
-    std::map<std::string, stand_in> targets;
+    std::map<std::string, stand_in_target> targets;
     std::ofstream record;
-    bool isLeaving = false;
-    time_point leavingSince;
+    bool isDraining = false;
+    time_point drainingSince;
 };
 
 } // namespace
@@ -426,7 +434,8 @@
 int main(int argc, char **argv)
 {
     using namespace filbert;
-    settings_check check {readSettings(&argc, &argv, "Targets for trials and tests.")};
+    settings_check check {
+        readSettings(&argc, &argv, "Simulated targets for benchmarks and tests.")};
     startLog(argv[0]);
     check.requireEndpoint("listen", FLAGS_listen);
     if (!check.isValid()) {
@@ -447,12 +456,12 @@
             loop.stop();
             return;
         }
-        targets.leave();
+        targets.startDraining();
         loop.callEvery(stopCheckPeriod, [&] {
             if (targets.mayStop()) {
                 loop.stop();
             } else {
-                targets.beat();
+                targets.sendHeartbeats();
             }
         });
     });
--- a/extras/state_bench.cpp
+++ b/extras/state_bench.cpp
@@ -1,6 +1,6 @@
-/** @file filbert-state-bench: what the replicated state costs as it grows: memory, the longest
-   stall of the loop while a snapshot is taken, and the time to come back from a snapshot or from a
-   log.
+/** @file filbert-state-bench: measures what the replicated state costs as it grows: its memory, the
+    longest stall of the event loop while a snapshot is taken, and the time to restore the state
+   from a snapshot or from a log.
 */
 
 #include "filbert_cell/filbert_cell.h"
@@ -13,11 +13,13 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_string(folder, "", "an empty folder for files; it is removed at the end");
-DEFINE_uint64(records, 0, "idempotency records");
-DEFINE_uint64(placements, 0, "running tasks");
-DEFINE_uint64(part_records, 1'000, "records read in one turn");
-DEFINE_uint64(entries, 0, "log entries, one task start or end each");
+DEFINE_string(folder, "", "empty folder for the log; it is removed at the end");
+DEFINE_uint64(records, 0, "number of idempotency records");
+DEFINE_uint64(placements, 0, "number of running tasks");
+DEFINE_uint64(part_records, 1'000, "number of records in each chunk of the snapshot");
+DEFINE_uint64(
+    entries, 0,
+    "number of log entries, each with the start or end of one task; above 0 = measure a restart");
 
 namespace filbert {
 
@@ -47,21 +49,21 @@
 
 messages::command configure()
 {
-    messages::configuration whole;
-    whole.set_cell("bench");
-    auto *team = whole.add_teams();
+    messages::configuration configuration;
+    configuration.set_cell("bench");
+    auto *team = configuration.add_teams();
     team->set_name("orders");
     team->set_share(1);
-    whole.add_queues()->set_name("quotes");
-    auto *service = whole.add_services();
+    configuration.add_queues()->set_name("quotes");
+    auto *service = configuration.add_services();
     service->set_name("quote");
     service->set_queue("quotes");
     messages::command command;
     auto *change = command.mutable_configuration();
-    const auto parts = itemsOf(whole);
-    const auto items = changesBetween({}, parts);
-    change->mutable_items()->Assign(items.begin(), items.end());
-    change->set_digest(digestOfItems(parts));
+    const auto items = itemsOf(configuration);
+    const auto changes = changesBetween({}, items);
+    change->mutable_items()->Assign(changes.begin(), changes.end());
+    change->set_digest(digestOfItems(items));
     return command;
 }
 
@@ -112,7 +114,8 @@
 void apply(cell_state &cell, const messages::command &command)
 {
     const auto outcome = applyCommand(cell, command, 1);
-    FILBERT_INVARIANT(outcome.error == error_kind::None, "the bench's commands are taken");
+    FILBERT_INVARIANT(outcome.error == error_kind::None,
+                      "all commands of the benchmark are accepted");
 }
 
 cell_state makeCell()
@@ -140,29 +143,29 @@
 {
     const auto before = residentKb();
     auto cell = makeCell();
-    const auto grown = residentKb() - before;
+    const auto stateKb = residentKb() - before;
     auto start = steady::now();
     std::string data;
     data.reserve((FLAGS_records + FLAGS_placements) * reservedRecordBytes);
     data += startSnapshot(cell);
-    double longest = millisecondsSince(start);
-    int parts = 1;
-    for (bool isWhole = false; !isWhole; ++parts) {
+    double longestStall = millisecondsSince(start);
+    int chunks = 1;
+    for (bool isComplete = false; !isComplete; ++chunks) {
         start = steady::now();
-        isWhole = readSnapshotChunk(cell, FLAGS_part_records, &data);
-        longest = std::max(longest, millisecondsSince(start));
+        isComplete = readSnapshotChunk(cell, FLAGS_part_records, &data);
+        longestStall = std::max(longestStall, millisecondsSince(start));
     }
     cell_state restored;
     start = steady::now();
     const auto error = restoreCell(data, &restored);
-    FILBERT_INVARIANT(!error, "a snapshot can be read");
+    FILBERT_INVARIANT(!error, "the snapshot can be restored");
     std::cout << "records=" << FLAGS_records << " placements=" << FLAGS_placements
-              << " state_kb=" << grown << " snapshot_kb=" << data.size() / bytesPerKilobyte
-              << " parts=" << parts << " longest_stall_ms=" << longest
+              << " state_kb=" << stateKb << " snapshot_kb=" << data.size() / bytesPerKilobyte
+              << " parts=" << chunks << " longest_stall_ms=" << longestStall
               << " restore_ms=" << millisecondsSince(start) << std::endl;
 }
 
-/** Writes a log as a controller does, and reads it back and applies it as a restart does. */
+/** Measures a restart: writes a log as a controller does, then opens it and applies its entries. */
 void benchRestart()
 {
     std::error_code error;
@@ -190,7 +193,7 @@
             entry.set_payload(batch.SerializeAsString());
             frame.push_back(std::move(entry));
             if (frame.size() == entriesPerFrame || index == FLAGS_entries) {
-                FILBERT_INVARIANT(!store.append(1, "", frame), "the log is written");
+                FILBERT_INVARIANT(!store.append(1, "", frame), "the log entries are written");
                 frame.clear();
             }
         }
@@ -201,17 +204,17 @@
     log_store store {*files};
     stored_state stored;
     storage_damage damage;
-    FILBERT_INVARIANT(!store.open(&stored, &damage), "the log is read back");
-    const auto opened = millisecondsSince(start);
+    FILBERT_INVARIANT(!store.open(&stored, &damage), "the log can be opened again");
+    const auto openMs = millisecondsSince(start);
     cell_state cell;
     for (const auto &entry : stored.entries) {
         messages::command_batch batch;
         batch.ParseFromString(entry.payload());
         apply(cell, batch.commands(0));
     }
-    const auto whole = millisecondsSince(start);
+    const auto totalMs = millisecondsSince(start);
     std::cout << "entries=" << FLAGS_entries << " log_kb=" << store.logBytes() / bytesPerKilobyte
-              << " open_ms=" << opened << " open_and_apply_ms=" << whole
+              << " open_ms=" << openMs << " open_and_apply_ms=" << totalMs
               << " memory_kb=" << residentKb() - before << std::endl;
 }
 
