--- a/extras/election_bench.cpp
+++ b/extras/election_bench.cpp
@@ -46,6 +46,7 @@
         }
     }
 
+    /** Runs the simulation until a condition holds or the duration has passed. */
     void run(milliseconds duration, const std::function<bool()> &until)
     {
         const auto end = now + duration;
@@ -61,6 +62,7 @@
         }
     }
 
+    /** @return index of a reachable leader with a valid lease, or -1 */
     int leader() const
     {
         for (std::size_t i = 0; i < members.size(); ++i) {
@@ -73,8 +75,8 @@
     }
 
     time_point now {1'000};
-    int failedMember = -1;
-    bool isKilled = false;
+    int failedMember = -1; // its messages are discarded; -1 = none
+    bool isKilled = false; // otherwise the failed member runs on without a network
     std::mt19937_64 random;
 
 private:
@@ -116,6 +118,8 @@
     std::multimap<time_point, messages::replication_message> inFlight;
 };
 
+/** Measures the time without a leader. @param kills whether the leader is killed instead of being
+   cut off silently */
 void measure(bool kills)
 {
     std::vector<std::int64_t> durations;
--- a/extras/load.cpp
+++ b/extras/load.cpp
@@ -215,7 +215,7 @@
     std::vector<double> latencies;
     std::map<std::string, int> refused;
     std::ofstream record;
-    int mismatched = 0;
+    int mismatched = 0; // answers that don't belong to their request
 };
 
 } // namespace
--- a/extras/policy_bench/policy_trial.cpp
+++ b/extras/policy_bench/policy_trial.cpp
@@ -75,7 +75,7 @@
     struct event
     {
         std::int64_t at = 0;
-        std::uint64_t number = 0;
+        std::uint64_t number = 0; // keeps the order of events with the same time
         event_kind kind = event_kind::Arrival;
         std::uint64_t subject = 0; // index of a stream, or placement id
 
@@ -85,10 +85,11 @@
         }
     };
 
+    /** Work that has arrived, or one of its tasks that runs. */
     struct task_run
     {
         std::size_t stream = 0;
-        std::int64_t since = 0;
+        std::int64_t since = 0; // time of arrival or of the task's start
         bool isFailing = false;
         work_item item;
         std::int32_t task = 0;
@@ -290,6 +291,7 @@
         }
     }
 
+    /** Removes a target with all its running tasks from the scheduler, or adds it again. */
     void setUnavailable(const target_entry &entry, bool isUnavailable)
     {
         updateTarget(scheduler, entry, !isUnavailable);
--- a/extras/policy_bench/policy_trial.h
+++ b/extras/policy_bench/policy_trial.h
@@ -74,8 +74,8 @@
     double decisionP50Us = 0; // elapsed time of a pass, per placement
     double decisionP99Us = 0;
     std::size_t placements = 0;
-    std::size_t refused = 0;
-    std::size_t failed = 0;
+    std::size_t refused = 0; // work that the scheduler didn't accept or later gave up
+    std::size_t failed = 0; // tasks that ended on a failing target
 };
 
 /** Runs a trial under a policy. The same seed gives the same arrivals for every policy. */
--- a/extras/relay.cpp
+++ b/extras/relay.cpp
@@ -33,6 +33,7 @@
 constexpr int backlog = 128;
 constexpr std::size_t bufferBytes = 64 * 1024;
 
+/** A client's connection and the one that the relay opened to the target for it. */
 struct relayed_connection
 {
     int clientSocket = -1;
@@ -68,7 +69,7 @@
 }
 
 /** Forwards the data that has arrived. Data that must be discarded is read, but not forwarded. */
-void relayData(relayed_connection &connection, int from, int to, bool isReply)
+void move(relayed_connection &connection, int from, int to, bool isReply)
 {
     static char buffer[bufferBytes];
     const auto size = recv(from, buffer, sizeof buffer, MSG_DONTWAIT);
@@ -141,10 +142,10 @@
         for (std::size_t i = 0; i < connections.size(); ++i) {
             auto &connection = connections[i];
             if (pollEntries[1 + 2 * i].revents != 0) {
-                relayData(connection, connection.clientSocket, connection.serverSocket, false);
+                move(connection, connection.clientSocket, connection.serverSocket, false);
             }
             if (pollEntries[2 + 2 * i].revents != 0) {
-                relayData(connection, connection.serverSocket, connection.clientSocket, true);
+                move(connection, connection.serverSocket, connection.clientSocket, true);
             }
             if (connection.isClosed) {
                 close(connection.clientSocket);
--- a/extras/stand_in_target.cpp
+++ b/extras/stand_in_target.cpp
@@ -47,6 +47,7 @@
 constexpr int exitInvalidSettings = 2;
 constexpr std::size_t maxStartedPlacements = 100'000;
 
+/** A running task or synchronous request. */
 struct running_entry
 {
     messages::resources used;
@@ -64,14 +65,15 @@
     std::map<std::uint64_t, running_entry> running;
     std::map<std::uint64_t, messages::finished_task> finished; // not yet acknowledged
     std::set<std::uint64_t> started; // placements, to reject a repeated start
-    std::deque<std::uint64_t> startedInOrder;
+    std::deque<std::uint64_t> startedInOrder; // oldest first; the oldest is forgotten at the limit
     bool isAnnounced = false;
-    bool isCalling = false;
+    bool isCalling = false; // a call to a gateway is pending
     bool mayHaveLostConnection = false; // the last call failed: the next one needs a new connection
     bool isDrained = false; // the cell has reported that it sends no more work
-    std::size_t gateway = 0;
+    std::size_t gateway = 0; // index of the gateway to call, modulo the number of gateways
 };
 
+/** @return the number that follows "NAME=" in a text, or the fallback if there is none */
 std::int64_t numberIn(const std::string &text, const std::string &name, std::int64_t fallback)
 {
     const auto at = text.find(name + "=");
@@ -300,6 +302,7 @@
         }
     }
 
+    /** Ends the tasks whose run time is over, and all tasks of a target whose lease has expired. */
     void endTasks()
     {
         const auto now = monotonicNow();
--- a/extras/state_bench.cpp
+++ b/extras/state_bench.cpp
@@ -139,6 +139,7 @@
     return cell;
 }
 
+/** Measures the memory of the state and the time to take and to restore a snapshot of it. */
 void benchState()
 {
     const auto before = residentKb();
