--- a/extras/random_run/random_cell.cpp
+++ b/extras/random_run/random_cell.cpp
@@ -146,7 +146,7 @@
         while (!holds() && time.now < limit) {
             time.runNextEvent();
         }
-        FILBERT_INVARIANT(holds(), "the cell becomes ready within 60 s");
+        FILBERT_INVARIANT(holds(), "each step of the set-up ends within 60 s");
     };
     runUntil([&] { return leader() != nullptr; });
     runUntil([&] {
