--- a/extras/random_run/fake_hosts.h
+++ b/extras/random_run/fake_hosts.h
@@ -196,7 +196,7 @@
         }
         running->tick(now());
         if (!links->handleAnswer("tcp://" + from, envelope, now())) {
-            running->handleOrder(envelope, now());
+            running->handleControllerMessage(envelope, now());
         }
     }
 
@@ -252,7 +252,7 @@
         }
     }
 
-    void setGateways(int /*gateways*/) override { }
+    void setGatewayCount(int /*gateways*/) override { }
 
     time_point now() const { return clock.read(time.now); }
 
--- a/modules/filbert_dispatch/tests/dispatch_fixture.h
+++ b/modules/filbert_dispatch/tests/dispatch_fixture.h
@@ -28,10 +28,10 @@
     /** Delivers a report of a target. */
     void reportTarget(const std::string &id, std::int64_t incarnation = 1, bool isDraining = false)
     {
-        auto report = life(id, incarnation,
-                           state.targets.contains(id)
-                               ? state.targets.at(id).registration.capacity().milli_cores()
-                               : 8'000);
+        auto report = targetRegistration(
+            id, incarnation,
+            state.targets.contains(id) ? state.targets.at(id).registration.capacity().milli_cores()
+                                       : 8'000);
         if (state.targets.contains(id)) {
             report.set_address(state.targets.at(id).registration.address());
         }
@@ -45,7 +45,7 @@
         answered. */
     void placeOneTask()
     {
-        target("t1");
+        registerTarget("t1");
         accept("j", {step(1)});
         startLeading();
         reportTarget("t1");
--- a/modules/filbert_dispatch/tests/preemption_test.cpp
+++ b/modules/filbert_dispatch/tests/preemption_test.cpp
@@ -29,7 +29,7 @@
         high->set_slack_factor(4);
         apply(command);
         for (const auto &each : targets) {
-            target(each, 1, 8'000);
+            registerTarget(each, 1, 8'000);
         }
     }
 
--- a/modules/filbert_dispatch/tests/scheduling_test.cpp
+++ b/modules/filbert_dispatch/tests/scheduling_test.cpp
@@ -21,7 +21,7 @@
 TEST_CASE("a gang starts whole or not at all, with one run number", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1", 1, 4'000);
+    cell.registerTarget("t1", 1, 4'000);
     auto gang = cell.step(3);
     gang.set_is_gang(true);
     cell.accept("j", {gang});
@@ -29,7 +29,7 @@
     cell.reportTarget("t1");
     cell.runFor({300});
     CHECK(runningTasksOf(cell, "j") == 0);
-    cell.target("t2", 1, 2'000);
+    cell.registerTarget("t2", 1, 2'000);
     cell.startLeading();
     cell.reportTarget("t1");
     cell.reportTarget("t2");
@@ -44,7 +44,7 @@
 {
     dispatch_fixture cell;
     cell.configure(2, 2, 5'000);
-    cell.target("t1", 1, 32'000);
+    cell.registerTarget("t1", 1, 32'000);
     cell.accept("j", {cell.step(6)});
     cell.startLeading();
     cell.reportTarget("t1");
@@ -55,8 +55,8 @@
 TEST_CASE("a step places no more tasks on a target than its limit per target", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1", 1, 32'000);
-    cell.target("t2", 1, 32'000);
+    cell.registerTarget("t1", 1, 32'000);
+    cell.registerTarget("t2", 1, 32'000);
     auto spec = cell.step(5);
     spec.set_max_per_target(2);
     cell.accept("j", {spec});
@@ -70,7 +70,7 @@
 TEST_CASE("a step is placed only on targets with its required label", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     auto spec = cell.step(1);
     spec.set_required_label("b");
     cell.accept("j", {spec});
@@ -89,7 +89,7 @@
     bulk->set_name("bulk");
     bulk->set_path_prefix("/bulk/");
     bulk->set_priority(2);
-    cell.target("t1", 1, 8'000);
+    cell.registerTarget("t1", 1, 8'000);
     cell.accept("large", {cell.step(1, 8'000)});
     cell.accept("busy", {cell.step(1, 4'000)});
     cell.start({"busy", 0, 0, 0}, 1, "t1");
@@ -113,8 +113,8 @@
     admission->set_decide_ms(20);
     admission->set_per_target_ms(1);
     admission->set_ticket_ms(1'500);
-    cell.target("t1");
-    cell.target("t2");
+    cell.registerTarget("t1");
+    cell.registerTarget("t2");
     cell.accept("j", {cell.step(1)});
     cell.startLeading();
     cell.reportTarget("t1");
@@ -166,7 +166,7 @@
     std::vector<std::string> targets;
     for (int i = 0; i < 30; ++i) {
         targets.push_back("t" + std::to_string(10 + i));
-        cell.target(targets.back(), 1, 2'000);
+        cell.registerTarget(targets.back(), 1, 2'000);
     }
     auto gang = cell.step(2);
     gang.set_is_gang(true);
@@ -213,7 +213,7 @@
         admission->set_ticket_ms(2'000);
         for (int i = 0; i < 30; ++i) {
             targets.push_back("t" + std::to_string(10 + i));
-            target(targets.back(), 1, 2'000);
+            registerTarget(targets.back(), 1, 2'000);
         }
         auto gang = step(members);
         gang.set_is_gang(true);
@@ -280,7 +280,7 @@
     firstQueue(cell)->mutable_admission()->set_decide_ms(300);
     firstQueue(cell)->mutable_admission()->set_ticket_ms(1'500);
     firstQueue(cell)->set_priority(2);
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.accept("low", {cell.step(1)});
     cell.startLeading();
     cell.reportTarget("t1");
@@ -313,7 +313,7 @@
     dispatch_fixture cell;
     firstQueue(cell)->mutable_admission()->set_decide_ms(20);
     firstQueue(cell)->mutable_admission()->set_ticket_ms(1'500);
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.accept("j", {cell.step(1)});
     cell.startLeading();
     cell.reportTarget("t1");
@@ -331,7 +331,7 @@
     dispatch_fixture cell;
     firstQueue(cell)->mutable_admission()->set_decide_ms(12);
     firstQueue(cell)->mutable_admission()->set_ticket_ms(1'500);
-    cell.target("t1");
+    cell.registerTarget("t1");
     auto second = cell.step(1);
     second.add_depends_on(0);
     cell.accept("j", {cell.step(2), second});
@@ -377,7 +377,7 @@
     dispatch_fixture cell;
     firstQueue(cell)->mutable_admission()->set_decide_ms(900);
     firstQueue(cell)->mutable_admission()->set_ticket_ms(1'500);
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.accept("j", {cell.step(1)});
     cell.startLeading();
     cell.reportTarget("t1");
@@ -392,7 +392,7 @@
 TEST_CASE("best-effort tasks are not placed beside latency-sensitive ones", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1", 1, 32'000);
+    cell.registerTarget("t1", 1, 32'000);
     auto serving = cell.step(1);
     serving.set_lasts(true);
     serving.set_latency_target_ms(100);
@@ -423,7 +423,7 @@
 TEST_CASE("an occurrence begins when it is due and not earlier", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     messages::work_command command;
     auto *job = command.mutable_accept();
     job->set_id("timed");
--- a/modules/filbert_dispatch/tests/target_tracking_test.cpp
+++ b/modules/filbert_dispatch/tests/target_tracking_test.cpp
@@ -13,7 +13,7 @@
 TEST_CASE("a start order carries a lease that expires on the target's clock", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.startLeading(7);
     cell.reportTarget("t1");
     cell.accept("j", {cell.step(1)});
@@ -32,8 +32,8 @@
 TEST_CASE("a new leader waits for the leases of the previous leader to expire", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
-    cell.target("t2");
+    cell.registerTarget("t1");
+    cell.registerTarget("t2");
     cell.accept("j", {cell.step(1)});
     cell.start(firstTask, 1, "t1");
     cell.startLeading(2);
@@ -47,13 +47,13 @@
 TEST_CASE("a delayed clock reading does not shorten a lease of an earlier term", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
-    cell.target("t2");
+    cell.registerTarget("t1");
+    cell.registerTarget("t2");
     cell.accept("j", {cell.step(1)});
     cell.start(firstTask, 1, "t1");
     cell.startLeading(2);
     const auto leadingSince = cell.now;
-    auto stale = work_fixture::life("t1", 1);
+    auto stale = work_fixture::targetRegistration("t1", 1);
     stale.set_sequence(1);
     stale.set_clock_ms(cell.now.ms - 2'000);
     handleTargetReport(*cell.leader, stale, cell.now);
@@ -73,8 +73,8 @@
 TEST_CASE("runs of a silent target start elsewhere once its lease has surely expired", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
-    cell.target("t2");
+    cell.registerTarget("t1");
+    cell.registerTarget("t2");
     cell.accept("j", {cell.step(1)});
     cell.startLeading();
     cell.reportTarget("t1");
@@ -129,7 +129,7 @@
 TEST_CASE("a target that does not answer gets no new work until it does", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.startLeading();
     cell.reportTarget("t1");
     cell.runFor({20});
@@ -160,7 +160,7 @@
 TEST_CASE("ends are acknowledged only to the incarnation that has listed them", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.accept("j", {cell.step(2)});
     cell.startLeading();
     cell.reportTarget("t1");
@@ -217,7 +217,7 @@
           "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1", 1);
+    cell.registerTarget("t1", 1);
     cell.accept("j", {cell.step(1)});
     cell.startLeading();
     cell.reportTarget("t1", 1);
@@ -249,7 +249,7 @@
     "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1", 1);
+    cell.registerTarget("t1", 1);
     cell.accept("j", {cell.step(1)});
     cell.startLeading();
     cell.runTargets({8'000}, {"t1"}); // longer than leases of an earlier term can last
@@ -270,10 +270,10 @@
 TEST_CASE("a report that a later one has overtaken does not update the clock", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.startLeading();
     cell.reportTarget("t1");
-    auto lateReport = work_fixture::life("t1", 1);
+    auto lateReport = work_fixture::targetRegistration("t1", 1);
     lateReport.set_sequence(3);
     lateReport.set_clock_ms(5);
     CHECK_FALSE(handleTargetReport(*cell.leader, lateReport, cell.now));
@@ -283,7 +283,7 @@
 TEST_CASE("a draining target gets no work, and long-running tasks are stopped there", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     auto spec = cell.step(1);
     spec.set_lasts(true);
     cell.accept("j", {spec});
@@ -291,7 +291,7 @@
     cell.reportTarget("t1");
     cell.runFor({20});
     cell.executeOrders("t1");
-    cell.target("t2");
+    cell.registerTarget("t2");
     cell.startLeading();
     cell.reportTarget("t1");
     cell.reportTarget("t2");
@@ -360,7 +360,7 @@
 TEST_CASE("a silent target without runs is not polled until its next report", "[dispatch]")
 {
     dispatch_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.startLeading();
     cell.reportTarget("t1");
     cell.runFor({4'000});
@@ -377,8 +377,8 @@
 /** Lets two targets run a task each, and loses one answer of each. */
 void loseAnswers(dispatch_fixture &cell)
 {
-    cell.target("t1");
-    cell.target("t2");
+    cell.registerTarget("t1");
+    cell.registerTarget("t2");
     cell.accept("j", {cell.step(2, 8'000)});
     cell.startLeading();
     cell.reportTarget("t1");
--- a/modules/filbert_gateway/gateway.cpp
+++ b/modules/filbert_gateway/gateway.cpp
@@ -91,7 +91,7 @@
                             }
                             applyGrant(state.lease, answer.grant(), sentAt);
                             state.links.setMembers(state.lease.members);
-                            state.targets.setGateways(state.lease.gatewayCount);
+                            state.targets.setGatewayCount(state.lease.gatewayCount);
                             state.metrics.setConfigurationVersion(
                                 state.lease.configuration.version());
                         });
@@ -202,7 +202,7 @@
                          isKnownPath ? error_kind::MethodNotAllowed : error_kind::NotFound, path);
 }
 
-void gateway::handleOrder(const messages::envelope &envelope, time_point now)
+void gateway::handleControllerMessage(const messages::envelope &envelope, time_point now)
 {
     state->now = now;
     if (envelope.has_dispatched()) {
--- a/modules/filbert_gateway/gateway.h
+++ b/modules/filbert_gateway/gateway.h
@@ -51,7 +51,7 @@
 
         @param gateways  number of gateways in the cell
     */
-    virtual void setGateways(int gateways) = 0;
+    virtual void setGatewayCount(int gateways) = 0;
 };
 
 /** Settings of a gateway. */
@@ -86,7 +86,7 @@
 
     /** Handles a controller's message that answers no pending request: an order for a target, a
         placement notice, or a grant that arrives too late. */
-    void handleOrder(const messages::envelope &envelope, time_point now);
+    void handleControllerMessage(const messages::envelope &envelope, time_point now);
 
     /** Handles timeouts, retries and hellos that are due. Call it every 10 to 50 ms. */
     void tick(time_point now);
--- a/modules/filbert_gateway/tests/gateway_test.cpp
+++ b/modules/filbert_gateway/tests/gateway_test.cpp
@@ -74,7 +74,7 @@
     }
 
     void cancel(std::uint64_t id) override { cancelled.push_back(id); }
-    void setGateways(int /*gateways*/) override { }
+    void setGatewayCount(int /*gateways*/) override { }
 
     /** Answers the oldest message to the controller that has not been answered. */
     void answer(messages::envelope envelope)
@@ -245,13 +245,13 @@
     late.set_exchange(firstRequest.exchange());
     late.mutable_dispatched()->set_placement_id(2);
     CHECK_FALSE(fixture.links.handleAnswer("tcp://c1", late, fixture.now));
-    fixture.testedGateway.handleOrder(late, fixture.now);
+    fixture.testedGateway.handleControllerMessage(late, fixture.now);
     REQUIRE(fixture.toController.size() == 1);
     CHECK(fixture.toController[0].end().placement_id() == 2);
     CHECK(fixture.toController[0].end().result() == messages::NOT_RUN);
-    fixture.testedGateway.handleOrder(late, fixture.now);
+    fixture.testedGateway.handleControllerMessage(late, fixture.now);
     late.mutable_dispatched()->set_placement_id(1);
-    fixture.testedGateway.handleOrder(late, fixture.now);
+    fixture.testedGateway.handleControllerMessage(late, fixture.now);
     CHECK(fixture.toController.size() == 1);
     CHECK(fixture.calls.size() == 1);
 }
@@ -265,7 +265,7 @@
         messages::envelope envelope;
         envelope.mutable_notice()->set_placement_id(placement);
         envelope.mutable_notice()->set_result(result);
-        fixture.testedGateway.handleOrder(envelope, fixture.now);
+        fixture.testedGateway.handleControllerMessage(envelope, fixture.now);
     };
     notice(9, messages::NOT_RUN); // a placement of another gateway
     CHECK(fixture.cancelled.empty());
--- a/modules/filbert_node/order_router.cpp
+++ b/modules/filbert_node/order_router.cpp
@@ -116,7 +116,7 @@
     const auto id = ++lastId;
     pendingOrders[id] = {order, relay, now + order.timeout + settings.answerGracePeriod};
     auto *added = outgoing[relay].mutable_carried()->add_orders();
-    *added = orderMessageOf(order);
+    *added = toOrderMessage(order);
     added->set_id(id);
 }
 
@@ -153,7 +153,7 @@
         }
         const auto order = std::move(found->second.order);
         pendingOrders.erase(found);
-        callbacks.onAnswer(order, answerFrom(message));
+        callbacks.onAnswer(order, toOrderAnswer(message));
     }
 }
 
@@ -212,7 +212,7 @@
     relayWaitDeadline = now + settings.relayDiscoveryTimeout;
 }
 
-messages::carried_order orderMessageOf(const target_order &order)
+messages::carried_order toOrderMessage(const target_order &order)
 {
     messages::carried_order message;
     message.set_kind(static_cast<int>(order.kind));
@@ -233,7 +233,7 @@
     return message;
 }
 
-target_order orderFrom(const messages::carried_order &message)
+target_order toTargetOrder(const messages::carried_order &message)
 {
     target_order order;
     order.kind = static_cast<order_kind>(message.kind());
@@ -254,7 +254,7 @@
     return order;
 }
 
-messages::carried_answer answerMessageOf(const order_answer &answer)
+messages::carried_answer toAnswerMessage(const order_answer &answer)
 {
     messages::carried_answer message;
     message.set_result(static_cast<int>(answer.result));
@@ -283,7 +283,7 @@
     return message;
 }
 
-order_answer answerFrom(const messages::carried_answer &message)
+order_answer toOrderAnswer(const messages::carried_answer &message)
 {
     order_answer answer;
     answer.result = static_cast<order_result>(message.result());
--- a/modules/filbert_node/order_router.h
+++ b/modules/filbert_node/order_router.h
@@ -138,15 +138,15 @@
 };
 
 /** @return an order as a message to a relay, without an id */
-messages::carried_order orderMessageOf(const target_order &order);
+messages::carried_order toOrderMessage(const target_order &order);
 
 /** @return the order in a message to a relay */
-target_order orderFrom(const messages::carried_order &message);
+target_order toTargetOrder(const messages::carried_order &message);
 
 /** @return a target's answer as a message from a relay, without an id */
-messages::carried_answer answerMessageOf(const order_answer &answer);
+messages::carried_answer toAnswerMessage(const order_answer &answer);
 
 /** @return the target's answer in a message from a relay */
-order_answer answerFrom(const messages::carried_answer &message);
+order_answer toOrderAnswer(const messages::carried_answer &message);
 
 } // namespace filbert
--- a/modules/filbert_node/tests/order_router_test.cpp
+++ b/modules/filbert_node/tests/order_router_test.cpp
@@ -221,7 +221,7 @@
 TEST_CASE("orders and answers are unchanged after conversion to messages and back", "[relay]")
 {
     const auto order = router_fixture::orderFor("t1");
-    const auto restored = orderFrom(orderMessageOf(order));
+    const auto restored = toTargetOrder(toOrderMessage(order));
     CHECK(restored.target == "t1");
     CHECK(restored.task == order.task);
     CHECK(restored.run == 3);
@@ -232,7 +232,7 @@
     answer.incarnation = 5;
     answer.runs.push_back({order.task, 3, "cp", 41, 7});
     answer.ends.push_back({9, order.task, 3, messages::END_ALONE, "x"});
-    const auto read = answerFrom(answerMessageOf(answer));
+    const auto read = toOrderAnswer(toAnswerMessage(answer));
     CHECK(read.result == order_result::NoCapacity);
     CHECK(read.incarnation == 5);
     CHECK_FALSE(read.clockMs);
--- a/modules/filbert_node/tests/work_controller_test.cpp
+++ b/modules/filbert_node/tests/work_controller_test.cpp
@@ -39,7 +39,7 @@
         work_controller_settings settings;
         settings.name = "controller-a";
         settings.address = "tcp://host-a";
-        settings.formation.faultTolerance = faultTolerance;
+        settings.membership.faultTolerance = faultTolerance;
         work_controller_hooks hooks;
         hooks.sendToMember = [](const messages::member &, const messages::work_envelope &) {};
         hooks.sendToPeer = [this](const std::string &peer,
@@ -184,7 +184,7 @@
     controller_fixture fixture;
     fixture.configure(1);
     messages::work_request report;
-    *report.mutable_report() = work_fixture::life("t1", 1);
+    *report.mutable_report() = work_fixture::targetRegistration("t1", 1);
     report.mutable_report()->set_sequence(1);
     report.mutable_report()->set_clock_ms(500);
     CHECK(fixture.sendRequest(report).kind() == messages::ANSWER_OK);
@@ -214,7 +214,7 @@
     request.mutable_configure()->set_version(3);
     REQUIRE(fixture.sendRequest(request).kind() == messages::ANSWER_OK);
     messages::work_request report;
-    *report.mutable_report() = work_fixture::life("t1", 1);
+    *report.mutable_report() = work_fixture::targetRegistration("t1", 1);
     report.mutable_report()->set_clock_ms(1);
     report.mutable_report()->set_sequence(1);
     REQUIRE(fixture.sendRequest(report).kind() == messages::ANSWER_OK);
--- a/modules/filbert_node/work_controller.cpp
+++ b/modules/filbert_node/work_controller.cpp
@@ -341,7 +341,7 @@
     for (const auto &member : view.membership->members()) {
         view.lastContactAt[member.identity()] = log.lastContactWith(member.identity());
     }
-    const auto change = nextMembershipChange(view, settings.formation, now);
+    const auto change = nextMembershipChange(view, settings.membership, now);
     if (!change) {
         return;
     }
--- a/modules/filbert_node/work_controller.h
+++ b/modules/filbert_node/work_controller.h
@@ -19,7 +19,7 @@
     std::string name;
     std::string address; // tcp://IP:port, for messages of other processes
     dispatch_settings dispatch;
-    membership_settings formation;
+    membership_settings membership;
     order_router_settings router;
     // Between requests to join. A leader keeps one for five times as long.
     milliseconds joinPeriod {200};
--- a/modules/filbert_node/work_metrics.cpp
+++ b/modules/filbert_node/work_metrics.cpp
@@ -88,7 +88,7 @@
 {
 }
 
-void entry_metrics::observeAnswer(int status, milliseconds duration)
+void entry_metrics::observeResponse(int status, milliseconds duration)
 {
     answers.Add({{"status", std::to_string(status)}}, secondsBuckets).Observe(secondsOf(duration));
 }
--- a/modules/filbert_node/work_metrics.h
+++ b/modules/filbert_node/work_metrics.h
@@ -57,9 +57,9 @@
         @param status    HTTP status
         @param duration  time from the complete request to its answer
     */
-    void observeAnswer(int status, milliseconds duration);
+    void observeResponse(int status, milliseconds duration);
 
-    void setOpenRequests(std::size_t count) { pendingRequests.Set(static_cast<double>(count)); }
+    void setPendingRequests(std::size_t count) { pendingRequests.Set(static_cast<double>(count)); }
 
     /** @return all metrics in Prometheus' text format */
     std::string text() const;
--- a/modules/filbert_node/work_requests.cpp
+++ b/modules/filbert_node/work_requests.cpp
@@ -166,7 +166,7 @@
         return;
     }
     if (state.configuration.version() == 0
-        && countVoters() < desiredVoterCount(settings.formation)) {
+        && countVoters() < desiredVoterCount(settings.membership)) {
         answerKind(from, messages::ANSWER_NOT_NOW, "too few controllers have joined yet",
                    formationRetryDelay.count);
         return;
--- a/modules/filbert_transport/dealer_pool.cpp
+++ b/modules/filbert_transport/dealer_pool.cpp
@@ -5,7 +5,7 @@
 namespace filbert {
 
 dealer_pool::dealer_pool(event_loop &loop, zmq::context_t &context, const std::string &name,
-                         const curve_site &site, handler onMessage)
+                         const curve_site &site, message_handler onMessage)
     : loop {loop}
     , context {context}
     , name {name}
--- a/modules/filbert_transport/dealer_pool.h
+++ b/modules/filbert_transport/dealer_pool.h
@@ -11,7 +11,7 @@
 class dealer_pool
 {
 public:
-    using handler = std::function<void(const std::string &address, std::string &&message)>;
+    using message_handler = std::function<void(const std::string &address, std::string &&message)>;
 
     /** @param loop       the event loop; must outlive the pool
         @param context    the ZeroMQ context of the process
@@ -20,7 +20,7 @@
         @param onMessage  called with the address that a message came from
     */
     dealer_pool(event_loop &loop, zmq::context_t &context, const std::string &name,
-                const curve_site &site, handler onMessage);
+                const curve_site &site, message_handler onMessage);
 
     /** Connects to an address unless there is a connection already. */
     void connect(const std::string &address) { clientFor(address); }
@@ -43,7 +43,7 @@
     zmq::context_t &context;
     std::string name;
     curve_site site;
-    handler onMessage;
+    message_handler onMessage;
     std::map<std::string, std::unique_ptr<message_client>> clients;
 };
 
--- a/modules/filbert_transport/http_client.cpp
+++ b/modules/filbert_transport/http_client.cpp
@@ -40,7 +40,7 @@
 {
     http_client *client = nullptr;
     http_call request;
-    handler onResponse;
+    response_handler onResponse;
     http_response response;
     endpoint_state *endpoint = nullptr;
     lws *wsi = nullptr;
@@ -86,7 +86,7 @@
     }
 }
 
-void http_client::send(http_call &&call, handler onResponse)
+void http_client::send(http_call &&call, response_handler onResponse)
 {
     auto pending = std::make_shared<pending_call>();
     pending->client = this;
--- a/modules/filbert_transport/http_client.h
+++ b/modules/filbert_transport/http_client.h
@@ -44,7 +44,7 @@
 class http_client
 {
 public:
-    using handler = std::function<void(std::error_code, http_response &&)>;
+    using response_handler = std::function<void(std::error_code, http_response &&)>;
 
     /** @param loop            the event loop; must outlive the client
         @param maxConnections  maximum number of connections to one endpoint; further calls wait
@@ -62,7 +62,7 @@
         @param call        the request
         @param onResponse  called exactly once, never from within send()
     */
-    void send(http_call &&call, handler onResponse);
+    void send(http_call &&call, response_handler onResponse);
 
     /** Ends a call immediately, with ConnectionFailed if no byte of it was sent and with TargetLost
         otherwise. In the latter case, idle connections to its endpoint are not reused for the
--- a/modules/filbert_transport/member_sockets.cpp
+++ b/modules/filbert_transport/member_sockets.cpp
@@ -8,7 +8,7 @@
 member_sockets::member_sockets(event_loop &loop, zmq::context_t &context,
                                const std::string &identity, const std::string &endpoint,
                                const curve_site &site, milliseconds silenceTimeout,
-                               const handler &onMessage)
+                               const message_handler &onMessage)
     : silenceTimeout {silenceTimeout}
     , server {loop, context, endpoint, site.serverKeys(),
               [this, onMessage](const std::string &peer, std::string &&text) {
--- a/modules/filbert_transport/member_sockets.h
+++ b/modules/filbert_transport/member_sockets.h
@@ -12,7 +12,7 @@
 class member_sockets
 {
 public:
-    using handler = std::function<void(const std::string &peer, std::string &&text)>;
+    using message_handler = std::function<void(const std::string &peer, std::string &&text)>;
 
     /** @param loop            the event loop; must outlive the sockets
         @param context         the ZeroMQ context of the process
@@ -26,7 +26,7 @@
     */
     member_sockets(event_loop &loop, zmq::context_t &context, const std::string &identity,
                    const std::string &endpoint, const curve_site &site, milliseconds silenceTimeout,
-                   const handler &onMessage);
+                   const message_handler &onMessage);
 
     /** Sends to the address of a member, or to the connected peer with its identity if it has no
         address. The replication protocol resends what is lost. */
--- a/modules/filbert_work/tests/work_commands_test.cpp
+++ b/modules/filbert_work/tests/work_commands_test.cpp
@@ -14,8 +14,8 @@
 TEST_CASE("a task has one run at a time and none after it has succeeded", "[work]")
 {
     work_fixture cell;
-    cell.target("t1");
-    cell.target("t2");
+    cell.registerTarget("t1");
+    cell.registerTarget("t2");
     cell.accept("j", {cell.step(1), cell.step(1)});
     const task_name task {"j", 0, 0, 0};
     CHECK(cell.start(task, 1, "t1").error == none);
@@ -28,11 +28,11 @@
 TEST_CASE("a run number is never reused", "[work]")
 {
     work_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.accept("j", {cell.step(1)});
     const task_name task {"j", 0, 0, 0};
     cell.start(task, 1, "t1");
-    cell.drop(task, 1);
+    cell.abandonRun(task, 1);
     CHECK(cell.start(task, 1, "t1").error == conflict);
     CHECK(cell.start(task, 2, "t1").error == none);
 }
@@ -40,12 +40,12 @@
 TEST_CASE("an end counts only for the current run on its own target", "[work]")
 {
     work_fixture cell;
-    cell.target("t1");
-    cell.target("t2");
+    cell.registerTarget("t1");
+    cell.registerTarget("t2");
     cell.accept("j", {cell.step(1)});
     const task_name task {"j", 0, 0, 0};
     cell.start(task, 1, "t1");
-    cell.drop(task, 1);
+    cell.abandonRun(task, 1);
     cell.start(task, 2, "t2");
     cell.end(task, 1, "t1", messages::END_DONE);
     CHECK(findTask(cell.state, task)->status == task_status::Running);
@@ -56,7 +56,7 @@
 TEST_CASE("a step starts after all tasks of the steps that it depends on have succeeded", "[work]")
 {
     work_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     auto second = cell.step(1);
     second.add_depends_on(0);
     cell.accept("j", {cell.step(2), second});
@@ -73,7 +73,7 @@
           "[work]")
 {
     work_fixture cell;
-    cell.target("t1", 1, 4'000);
+    cell.registerTarget("t1", 1, 4'000);
     cell.accept("j", {cell.step(3)});
     CHECK(cell.start({"j", 0, 0, 0}, 1, "t1").error == none);
     CHECK(cell.start({"j", 0, 0, 1}, 1, "t1").error == none);
@@ -89,7 +89,7 @@
 TEST_CASE("a cancelled job starts no more tasks", "[work]")
 {
     work_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.accept("j", {cell.step(2)});
     messages::work_command cancel;
     cancel.set_cancel("j");
@@ -103,7 +103,7 @@
 TEST_CASE("a job that has ended keeps its status but not its tasks", "[work]")
 {
     work_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     messages::work_command cancel;
     cancel.set_cancel("cancelled");
     cell.accept("done", {cell.step(1)});
@@ -130,7 +130,7 @@
 TEST_CASE("a job fails once a task has used up the attempts of its queue", "[work]")
 {
     work_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     cell.accept("j", {cell.step(2)});
     const task_name task {"j", 0, 0, 0};
     cell.start(task, 1, "t1");
@@ -147,7 +147,7 @@
 TEST_CASE("a long-running task is started again however its run ends", "[work]")
 {
     work_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     auto spec = cell.step(1);
     spec.set_lasts(true);
     cell.accept("j", {spec});
@@ -164,7 +164,7 @@
 TEST_CASE("one success completes a gang, and a failed run of it counts once", "[work]")
 {
     work_fixture cell;
-    cell.target("t1");
+    cell.registerTarget("t1");
     auto gang = cell.step(3);
     gang.set_is_gang(true);
     cell.accept("j", {gang});
@@ -188,15 +188,15 @@
           "[work]")
 {
     work_fixture cell;
-    cell.target("t1", 5, 8'000, "10.0.0.1:80");
+    cell.registerTarget("t1", 5, 8'000, "10.0.0.1:80");
     cell.accept("j", {cell.step(1)});
     const task_name task {"j", 0, 0, 0};
     cell.start(task, 1, "t1", 5);
-    cell.target("t2", 9, 8'000, "10.0.0.1:80");
+    cell.registerTarget("t2", 9, 8'000, "10.0.0.1:80");
     CHECK(cell.state.targets.at("t1").hasEnded);
     CHECK(findTask(cell.state, task)->status == task_status::Waiting);
     messages::work_command late;
-    *late.mutable_target() = work_fixture::life("t1", 5, 8'000, "10.0.0.1:80");
+    *late.mutable_target() = work_fixture::targetRegistration("t1", 5, 8'000, "10.0.0.1:80");
     CHECK(cell.apply(late).error == conflict);
     CHECK_FALSE(cell.state.targets.at("t2").hasEnded);
 }
@@ -204,16 +204,16 @@
 TEST_CASE("runs of an earlier incarnation stay reserved until they have certainly ended", "[work]")
 {
     work_fixture cell;
-    cell.target("t1", 5);
+    cell.registerTarget("t1", 5);
     cell.accept("j", {cell.step(1)});
     const task_name task {"j", 0, 0, 0};
     cell.start(task, 1, "t1", 5);
-    cell.target("t1", 6);
+    cell.registerTarget("t1", 6);
     CHECK(findTask(cell.state, task)->status == task_status::Running);
     CHECK(cell.state.targets.at("t1").used.milliCores == 2'000);
     cell.end(task, 1, "t1", messages::END_DONE, 1, 5); // a late report of incarnation 5
     CHECK(findTask(cell.state, task)->status == task_status::Running);
-    cell.drop(task, 1);
+    cell.abandonRun(task, 1);
     CHECK(findTask(cell.state, task)->status == task_status::Waiting);
     CHECK(cell.state.targets.at("t1").used.milliCores == 0);
 }
@@ -222,11 +222,11 @@
           "[work]")
 {
     work_fixture cell;
-    cell.target("t1", 5);
+    cell.registerTarget("t1", 5);
     cell.accept("j", {cell.step(1)});
     const task_name task {"j", 0, 0, 0};
     cell.start(task, 1, "t1", 5);
-    cell.target("t1", 6); // the order was still in transit and reached this incarnation
+    cell.registerTarget("t1", 6); // the order was still in transit and reached this incarnation
     cell.end(task, 1, "t1", messages::END_DONE, 1, 6);
     CHECK(cell.statusOf("j") == job_status::Completed);
     CHECK(cell.start(task, 2, "t1", 6).error != none);
@@ -291,8 +291,8 @@
 {
     checkProperty([] {
         work_fixture cell;
-        cell.target("t1", 1, 5'000);
-        cell.target("t2", 1, 3'000);
+        cell.registerTarget("t1", 1, 5'000);
+        cell.registerTarget("t2", 1, 3'000);
         auto gang = cell.step(2, 1'000);
         gang.set_is_gang(true);
         auto after = cell.step(1, 2'500);
@@ -319,7 +319,7 @@
                          ++ends);
                 break;
             default:
-                cell.drop(task, run);
+                cell.abandonRun(task, run);
             }
             for (const auto &[id, registered] : cell.state.targets) {
                 RC_ASSERT(registered.used.milliCores
--- a/modules/filbert_work/tests/work_fixture.h
+++ b/modules/filbert_work/tests/work_fixture.h
@@ -40,16 +40,17 @@
         return applyCommand(state, command, 0);
     }
 
-    void target(const std::string &id, std::int64_t incarnation = 1, std::int32_t cores = 8'000,
-                const std::string &address = {})
+    void registerTarget(const std::string &id, std::int64_t incarnation = 1,
+                        std::int32_t cores = 8'000, const std::string &address = {})
     {
         messages::work_command command;
-        *command.mutable_target() = life(id, incarnation, cores, address);
+        *command.mutable_target() = targetRegistration(id, incarnation, cores, address);
         apply(command);
     }
 
-    static messages::target_life life(const std::string &id, std::int64_t incarnation,
-                                      std::int32_t cores = 8'000, const std::string &address = {})
+    static messages::target_life targetRegistration(const std::string &id, std::int64_t incarnation,
+                                                    std::int32_t cores = 8'000,
+                                                    const std::string &address = {})
     {
         messages::target_life registration;
         registration.set_id(id);
@@ -130,7 +131,7 @@
         return apply(endCommand(task, run, target, kind, number, incarnation));
     }
 
-    command_outcome drop(const task_name &task, std::uint32_t run)
+    command_outcome abandonRun(const task_name &task, std::uint32_t run)
     {
         messages::work_command command;
         *command.mutable_drop()->mutable_task() = toTaskReference(task);
--- a/programs/filbert_controller.cpp
+++ b/programs/filbert_controller.cpp
@@ -42,7 +42,7 @@
 public:
     socket_outbox(event_loop &loop, zmq::context_t &context, const std::string &identity,
                   const std::string &endpoint, const curve_site &site,
-                  const member_sockets::handler &onMessage)
+                  const member_sockets::message_handler &onMessage)
         : identity {identity}
         , sockets {loop, context, identity, endpoint, site, silenceTimeout, onMessage}
     {
--- a/programs/filbert_gateway.cpp
+++ b/programs/filbert_gateway.cpp
@@ -70,7 +70,7 @@
 
     void cancel(std::uint64_t id) override { client.cancel(id); }
 
-    void setGateways(int gateways) override
+    void setGatewayCount(int gateways) override
     {
         client.setMaxConnections(FLAGS_target_connections / gateways);
     }
@@ -156,7 +156,7 @@
         [&](const std::string &address, const messages::envelope &envelope) {
             gatewayInstance->tick(monotonicNow());
             if (!links->handleAnswer(address, envelope, monotonicNow())) {
-                gatewayInstance->handleOrder(envelope, monotonicNow());
+                gatewayInstance->handleControllerMessage(envelope, monotonicNow());
             }
         }};
     std::vector<std::string> addresses;
