--- a/modules/filbert_controller/controller_state.h
+++ b/modules/filbert_controller/controller_state.h
@@ -18,7 +18,8 @@
 {
     policy_settings policy;
     milliseconds targetLease {4'000};
-    // For the start of a synchronous request; later, its target rejects the start.
+    // A target rejects the start of a synchronous request that arrives later than this
+    // after its placement.
     milliseconds requestStartTimeout {1'500};
     // A task is stopped if throttling it for this long did not help.
     milliseconds throttleTimeout {3'000};
@@ -26,10 +27,11 @@
     // A snapshot is due after this many applied entries, or when the log takes this many bytes.
     std::uint64_t snapshotEntries = 50'000;
     std::uint64_t snapshotBytes = 64 << 20;
-    // In one chunk of a snapshot, which is read and synced in one turn of the event loop.
+    // Records of each kind in a chunk of a snapshot, which is read and synced in one turn of the
+    // event loop.
     std::size_t snapshotChunkRecords = 1'000;
     milliseconds snapshotRetryDelay {10'000}; // after a snapshot failed because the disk was full
-    std::size_t maxPendingCommands = 50'000; // with so many, the scheduler places no more tasks
+    std::size_t maxPendingCommands = 50'000; // with this many, no more tasks are placed
 };
 
 /** Where an answer goes. */
@@ -94,7 +96,7 @@
     time_point leadingSince;
     scheduler_state scheduler;
     std::vector<pending_command> pending;
-    // Where the answers to proposed commands go that are not applied yet; by log index.
+    // Where to send the answers to commands that are proposed but not applied yet; by log index.
     std::map<std::uint64_t, std::vector<reply_address>> inFlight;
     std::unordered_map<std::uint64_t, pending_dispatch> dispatches; // by work id
     std::unordered_map<std::uint64_t, std::uint64_t> dispatchByPlacement; // work id by placement
--- a/modules/filbert_dispatch/admission_requests.cpp
+++ b/modules/filbert_dispatch/admission_requests.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-constexpr milliseconds callerTimeout {1'500}; // three missed hellos: no request for that process
+// A process without contact for this long, three missed hellos, gets no requests.
+constexpr milliseconds callerTimeout {1'500};
 constexpr milliseconds answerGracePeriod {250}; // added to the expected duration: many round trips
-// One caller in so many is kept free for quick policies.
+// One of this many callers is kept free for quick policies.
 constexpr std::size_t callersPerQuickCaller = 3;
-// A request goes before those of a higher priority that were made later by more than this, for each
-// priority level between them. Otherwise gangs that renew their tickets all the time would keep
-// work of lower priority from any call.
+// For each level by which its priority is lower, a request counts as made this much later. It thus
+// precedes more urgent requests that are made after that time. Otherwise gangs that renew their
+// tickets all the time would keep work of lower priority from any call.
 constexpr milliseconds agePerPriorityLevel {500};
 
 std::vector<std::string> freeCallers(const dispatch_state &state, time_point now)
--- a/modules/filbert_dispatch/admission_requests.h
+++ b/modules/filbert_dispatch/admission_requests.h
@@ -4,17 +4,17 @@
 
 namespace filbert {
 
-/** The duration of a call of the policy service up to which urgent steps can wait for it. */
+/** The maximum duration of a quick call of the policy service, for which urgent steps can wait. */
 constexpr milliseconds maxQuickAdmissionTime {100};
 
-/** Requests tickets for a step from the policy service, unless a request of it is pending.
+/** Requests tickets for a step from the policy service, unless a request for that step is pending.
 
-    The service takes one call at a time from each process, so that calls are spread over the
-    registered callers. Some of these are kept free for policies that decide quickly.
+    The service takes one call at a time from each process, so calls are spread over the
+    registered callers. Some callers are kept free for quick calls, see maxQuickAdmissionTime.
 
-    @param step        index 0
+    @param step        the step, as a task name with index 0
     @param targets     to name in the request, the preferred ones first
-    @param maxPerCall  the maximum number of targets in a call; further ones go into parallel calls
+    @param maxPerCall  maximum number of targets in a call; further ones go into parallel calls
 */
 void requestAdmission(dispatch_state &state, const task_name &step,
                       const messages::work_queue &queue, const std::vector<std::string> &targets,
@@ -28,8 +28,8 @@
 void registerCaller(dispatch_state &state, const std::string &name, std::uint64_t process,
                     time_point now);
 
-/** Unregisters a process that stops calling the policy service. It still answers the request that
-    it has. */
+/** Unregisters a process that stops calling the policy service. It still answers its
+    pending request. */
 void unregisterCaller(dispatch_state &state, const std::string &name);
 
 /** Handles the answer of the policy service to a request. */
@@ -39,10 +39,11 @@
 /** Sends waiting requests to free callers, and overdue ones to other callers. */
 void tickAdmissions(dispatch_state &state, time_point now);
 
-/** @return how many callers are free for a call of a costly policy now */
+/** @return how many callers are free now for a call that is not quick, beyond those kept free for
+    quick calls */
 std::size_t countSpareCallers(const dispatch_state &state, time_point now);
 
-/** @return the expected duration of a call that names so many targets */
+/** @return the expected duration of a call that names a number of targets */
 milliseconds admissionTime(const messages::admission_policy &policy, std::size_t targets);
 
 /** Whether a start that is decided now can reach its target before the ticket expires. */
--- a/modules/filbert_dispatch/dispatch_state.h
+++ b/modules/filbert_dispatch/dispatch_state.h
@@ -23,35 +23,39 @@
     // The longest lease that a target grants; from the settings.
     milliseconds maxTargetLease {6'000};
     milliseconds pollWait {1'500}; // a poll returns by then; a lease is longer than two polls
-    // Where best-effort runs share a target with latency-sensitive ones.
+    // Instead of pollWait on a target with both best-effort and latency-sensitive runs.
     milliseconds mixedLoadPollWait {400};
     milliseconds startTimeout {150}; // many round trips; sending a start again does no harm
     milliseconds initialRetryDelay {20}; // after the first timeout, since urgent work waits
-    milliseconds orderTimeout {700}; // of stops and work rates, which nothing waits for
-    // No process ends and starts again between two polls that are this close to each other.
+    milliseconds orderTimeout {700}; // of stops and work rates; no task waits for these
+    // A target that answered a poll this recently is taken for the same incarnation: no process
+    // ends and starts again within this time.
     milliseconds sameIncarnationWindow {400};
-    milliseconds pollGracePeriod {700}; // added to the wait of a poll
-    milliseconds retryDelay {150}; // between tries of one order; an unreachable target costs little
-    // Where answers get lost, short timeouts and a second try cost less than they save.
-    milliseconds answerLossWindow {5'000}; // a lost answer counts for that long
-    // How many targets must have lost an answer; a single one may be at fault itself.
+    milliseconds pollGracePeriod {700}; // the timeout of a poll is its wait and this
+    // Between attempts of one order; at this rate an unreachable target costs little.
+    milliseconds retryDelay {150};
+    // While the network loses answers, the lossy values below replace the usual ones: short
+    // timeouts and a second attempt then cost less than they save.
+    milliseconds answerLossWindow {5'000}; // a lost answer counts for this long
+    // Number of targets whose answers were lost; a single target may be at fault itself.
     std::size_t lossyTargetThreshold = 2;
     milliseconds lossyPollWait {250}; // a third of the shortest usual task
     milliseconds lossyPollGracePeriod {150};
     milliseconds lossyStartTimeout {70}; // ten round trips between failure domains
-    // An unanswered start is withdrawn after that: three tries.
+    // After this time, three attempts, a start without an answer is not sent again but withdrawn.
     milliseconds startRetryPeriod {2'200};
-    milliseconds contactTimeout {3'300}; // two missed reports of 1.5 s: no new work for that target
+    milliseconds contactTimeout {3'300}; // two missed reports of 1.5 s: then no new work
     milliseconds maxOrderDelay {12'000}; // an unanswered order may still be carried out this late
-    milliseconds stallTimeout {2'500}; // without progress; longer than a restore from a checkpoint
+    // A run without progress for this long is stopped; a restore from a checkpoint takes less.
+    milliseconds stallTimeout {2'500};
     milliseconds initialQuarantine {3'000}; // of a target that failed several jobs in a row
     milliseconds maxQuarantine {12'000};
     int failuresBeforeQuarantine = 3; // in a row, from different jobs
     milliseconds ticketMargin {250}; // a start must reach its target before its ticket expires
-    // Between ticks of all targets, for what is due by time alone.
+    // Between ticks of all targets, for timeouts; each call also ticks those that have changed.
     milliseconds targetTickPeriod {20};
     milliseconds passPeriod {100}; // between passes while tasks wait and nothing changes
-    milliseconds jobRetention {130'000}; // of ended jobs: what the platform requires and a margin
+    milliseconds jobRetention {130'000}; // of ended jobs: the platform's minimum and a margin
     double urgentHeadroom = 0.08; // fraction of a service's cores kept for its most urgent queue
 };
 
@@ -63,8 +67,8 @@
     std::uint32_t run = 0;
     run_phase phase = run_phase::Started;
     bool isOrderPending = false; // a start or stop was sent and is not answered yet
-    bool isAbandonmentProposed = false; // the log is to record that it ended without a report
-    bool mayHaveReachedTarget = true; // some start order may have arrived there
+    bool isAbandonmentProposed = false; // a command that ends it without a report was proposed
+    bool mayHaveReachedTarget = true; // at least one start order may have arrived
     time_point orderedAt;
     time_point startedAt;
     time_point retryAt;
@@ -93,7 +97,7 @@
     time_point lastContactAt; // time of the last report or answer
     // Time of the last answer to an order: the connection works in both directions then.
     time_point lastAnswerAt;
-    bool isSuspect = false; // an order got no answer, and neither did any that was sent later
+    bool isSuspect = false; // an order got no answer, nor did any that was sent later
     bool isPollPending = false;
     time_point nextPollAt; // the next poll is sent no earlier
     time_point pollSentAt;
@@ -104,14 +108,14 @@
     resource_amounts reservedResources; // by proposed starts
     std::int64_t reservedBestEffortCores = 0;
     std::map<task_name, run_view> runs;
-    std::map<task_name, std::uint32_t> orphanRuns; // runs that nobody ordered, to be stopped
+    std::map<task_name, std::uint32_t> orphanRuns; // reported, but not in the log: to be stopped
     std::set<std::string> failedJobs; // since the last run that ended well
     time_point quarantinedUntil;
     milliseconds quarantinePeriod;
-    std::optional<time_point> leavingSince; // when it reported that it ends
-    time_point drainDeadline; // if it is draining: it stays until then
+    std::optional<time_point> leavingSince; // when it reported that it is about to end
+    time_point drainDeadline; // when a draining target ends; 0 = not draining
     bool isRemovalProposed = false;
-    bool isInventoryStale = true; // what it runs and has ended is not fully known
+    bool isInventoryStale = true; // its runs and ended runs are not fully known
 };
 
 /** What is known about the admission of a step: the targets on which the policy service lets it
@@ -145,7 +149,7 @@
 struct admission_caller
 {
     time_point lastContactAt;
-    std::uint64_t process = 0; // distinguishes processes that have had the same name
+    std::uint64_t process = 0; // distinguishes successive processes of one name
     std::uint64_t pendingRequest = 0;
 };
 
@@ -158,7 +162,7 @@
     milliseconds criticalPath; // of the whole job
     // Pairs of occurrence and step, of steps with waiting tasks.
     std::set<std::pair<std::uint32_t, std::uint32_t>> pendingSteps;
-    std::set<std::pair<std::uint32_t, std::uint32_t>> upcomingSteps; // those soon to be pending
+    std::set<std::pair<std::uint32_t, std::uint32_t>> upcomingSteps; // pending soon
 };
 
 enum class order_kind { Start, Stop, Poll, SetWorkRate };
@@ -249,7 +253,7 @@
     std::vector<admission_call> admissions;
 };
 
-/** All that only a serving leader knows; it starts empty with each term. */
+/** What only a serving leader knows. It is rebuilt from the replicated state in each term. */
 struct dispatch_state
 {
     dispatch_settings settings;
@@ -271,9 +275,11 @@
     std::set<std::string> changedTargets; // ids of those with new events since the last tick
     time_point nextTargetTickAt; // the next tick of all targets, not only of the changed ones
     bool mayPlaceMore = true; // the next pass may find something to place
-    // The next pass even if nothing changes: tickets and quarantines end by time alone.
+    // When the next pass runs even if nothing changes: tickets and quarantines expire.
     time_point nextPassAt;
-    time_point earliestPassAt; // many pending steps make a pass long: passes are further apart then
+    // No change causes a pass before this time. It is later after a long pass, as many pending
+    // steps cause.
+    time_point earliestPassAt;
     std::size_t pendingStepCount = 0; // as of the last pass
     std::uint64_t passCount = 0;
     dispatch_effects effects;
--- a/modules/filbert_dispatch/filbert_dispatch.h
+++ b/modules/filbert_dispatch/filbert_dispatch.h
@@ -20,15 +20,15 @@
     - poll: an order that asks what a target runs and which runs have ended there. It renews the
       target's lease, and it is a long poll: the target may hold it until a run ends.
     - lease: until it expires a target may run its tasks without contact with a leader. Once it has
-      surely expired, the runs of a silent target may start elsewhere.
+      certainly expired, the tasks of a silent target may start elsewhere.
     - quarantine: a period in which a target that keeps failing gets no new work.
     - ticket: the permission of the policy service to start tasks of a step on a target.
     - admission: the request to the policy service for tickets.
     - gang: a step whose tasks start together or not at all.
     - latency-sensitive step: one with a latency target.
-    - best-effort step: one that fills gaps; it reserves no cores and uses those that others leave.
+    - best-effort step: one that reserves no cores and uses those that other steps leave idle.
     - slack: how much later a step could start and its job still end within its objective.
-    - placement pass: one walk through all waiting tasks that reserves starts on targets.
+    - placement pass: one iteration over all waiting tasks that reserves starts on targets.
 
     Depends on: filbert_core, filbert_work.
 */
--- a/modules/filbert_dispatch/placement_pass.cpp
+++ b/modules/filbert_dispatch/placement_pass.cpp
@@ -13,7 +13,7 @@
 
 // Terms of fitCost(). Their unit is an accelerator left idle, which packing is to avoid.
 
-// A task that is far from its data runs half as long again: more than any packing gains.
+// A task that is far from its data takes 1.5 times as long, which is more than any packing gains.
 constexpr double remoteDataCost = 20.0;
 // For long-running tasks of one step: the end of one target must not stop many of them.
 constexpr double sameTargetCost = 4.0;
--- a/modules/filbert_dispatch/placement_pass.h
+++ b/modules/filbert_dispatch/placement_pass.h
@@ -8,7 +8,7 @@
 
 namespace filbert {
 
-constexpr int lateRankOffset = 3; // added to a priority (0 to 2): late work ranks after all other
+constexpr int lateRankOffset = 3; // added to the priority (0 to 2) of late work: it goes last
 constexpr int noReservation = std::numeric_limits<int>::max();
 
 /** The configured queues by name. */
@@ -22,7 +22,7 @@
     const messages::step_spec *spec = nullptr;
     const messages::work_queue *queue = nullptr;
     resource_amounts need; // what a task reserves on its target
-    int rank = 0; // the lowest goes first; see lateRankOffset
+    int rank = 0; // the lowest is placed first; see lateRankOffset
     std::int64_t slackMs = 0;
     std::unordered_map<std::string_view, int> tasksByTarget; // only if dependsOnTaskCounts()
 };
@@ -36,7 +36,7 @@
     resource_amounts free; // neither used by runs nor reserved for starts
     std::int64_t unusedCores = 0; // those of the free cores that best-effort runs do not use either
     std::string_view rack; // points into the labels of the registration, which outlive the pass
-    int reservedRank = noReservation; // work of a higher rank number is not placed here
+    int reservedRank = noReservation; // work with a higher rank is not placed here
 };
 
 /** The targets of one service, as a placement pass sees them. */
@@ -51,7 +51,7 @@
     std::int64_t freeCores = 0;
     std::size_t unplacedSteps = 0; // steps for which there was no capacity
     std::size_t reservedCandidates = 0;
-    int urgentPriority = std::numeric_limits<int>::max();
+    int urgentPriority = std::numeric_limits<int>::max(); // of its most urgent queue; 0 is highest
 };
 
 /** One pass over all waiting tasks. The free resources of the targets only shrink during it, apart
@@ -86,7 +86,7 @@
 /** @return the cost of placing a task of the step on a target; the lowest is the best fit */
 double fitCost(const pending_step &step, const placement_candidate &candidate);
 
-/** Whether the job's team stays within its cap if so many more tasks of the step start. */
+/** Whether the job's team stays within its cap if a number of tasks of the step start. */
 bool isWithinTeamCap(const placement_pass &pass, const pending_step &step, std::size_t tasks);
 
 /** @return what is known about the admission of the step, or nullptr */
--- a/modules/filbert_dispatch/preemption.h
+++ b/modules/filbert_dispatch/preemption.h
@@ -15,7 +15,7 @@
     The targets meant for the gang are reserved for it during this pass.
 
     @param step     a gang with waiting members and, if its queue has a policy, with tickets
-    @param members  how many start together
+    @param members  number of tasks that start together
     @return whether there will be capacity for all members
 */
 bool preemptFor(placement_pass &pass, const pending_step &step, service_view &service,
--- a/modules/filbert_dispatch/scheduling.h
+++ b/modules/filbert_dispatch/scheduling.h
@@ -6,10 +6,10 @@
 
 /** Runs a placement pass: decides which waiting tasks start now and where, and proposes that.
 
-    Work that can still end in time goes before work that is late anyway; within these the priority
-    of the queue decides, then the least slack. A task goes to the target that it fits best, so that
-    large blocks of free capacity stay whole. A step that finds no capacity reserves targets against
-    work that ranks after it. Gangs start as a whole.
+    Work that can still end in time goes before work that is certainly late. Within each group, the
+    priority of the queue decides, then the least slack. A task goes to the target that it fits
+    best, so that large blocks of free capacity stay whole. A step that finds no capacity reserves
+    targets against work that ranks after it. Gangs start as a whole.
 */
 void placeWaitingTasks(dispatch_state &state, time_point now);
 
--- a/modules/filbert_dispatch/target_tracking.h
+++ b/modules/filbert_dispatch/target_tracking.h
@@ -12,7 +12,8 @@
 */
 bool handleTargetReport(dispatch_state &state, const messages::target_life &report, time_point now);
 
-/** Handles a target's report that it ends now. Its runs have ended once its lease has expired. */
+/** Handles a target's report that it is about to end. Its runs have ended once its
+    lease has expired. */
 void handleTargetLeaving(dispatch_state &state, const std::string &id, time_point now);
 
 /** Handles the answer to an order, or the failure to get one. */
@@ -20,7 +21,7 @@
                        time_point now);
 
 /** Sends what is due to targets: retries of starts and stops, polls, renewed leases. Abandons runs
-    whose lease has surely expired. */
+    whose lease has certainly expired. */
 void tickTargets(dispatch_state &state, time_point now);
 
 /** Sends a committed start to its target.
--- a/modules/filbert_dispatch/tests/target_tracking_test.cpp
+++ b/modules/filbert_dispatch/tests/target_tracking_test.cpp
@@ -179,7 +179,7 @@
     cell.runFor({300});
     polls = cell.pendingOrders(order_kind::Poll, "t1");
     REQUIRE(polls.size() == 1);
-    // A new incarnation has ends of its own under these numbers.
+    // A new incarnation numbers its ended runs from the start again.
     CHECK(polls[0].lastAppliedEnd == 0);
     list.ends.clear();
     cell.answerOrders(order_kind::Poll, order_result::Done, "t1", list);
--- a/modules/filbert_gateway/service_calls.cpp
+++ b/modules/filbert_gateway/service_calls.cpp
@@ -21,7 +21,8 @@
 constexpr int maxBackoffDoublings = 6;
 constexpr milliseconds unreachablePeriod {1'000}; // in which an unreachable target is excluded
 constexpr std::size_t maxExcludedTargets = 2; // the latest; a small cell has few other targets
-constexpr std::int64_t answerTimeDivisor = 10; // a tenth of the time is kept for the answer
+// A tenth of the time until the deadline is kept for the answer.
+constexpr std::int64_t answerTimeDivisor = 10;
 constexpr std::size_t maxIdempotencyKeyBytes = 200;
 
 /** A caller's request to a service, until it is answered. */
--- a/modules/filbert_node/leader_client.h
+++ b/modules/filbert_node/leader_client.h
@@ -26,16 +26,16 @@
     std::uint32_t linkMbps = 0; // bandwidth of this process's host; 0 = unknown
     // Three hellos fit into the time after which controllers consider a silent process lost.
     milliseconds helloPeriod {300};
-    // Between hellos while no leader is known. It is shorter, since requests wait meanwhile.
+    // Period of hellos while no leader is known. It is shorter, since requests wait meanwhile.
     milliseconds leaderSearchPeriod {100};
-    // Until a request without an answer is sent again, which is safe for every request. It is
-    // several times as long as the longest commit.
+    // A request without an answer is sent again after this time, which is safe for every request.
+    // It is several times as long as the longest commit.
     milliseconds resendTimeout {600};
     milliseconds retryDelay {60}; // after an answer that the controller does not lead
-    // For requests that cannot be sent because there is no leader; it covers an election.
+    // A request that could not be sent fails after this time, which covers an election.
     milliseconds unsentTimeout {1'500};
-    // Without any message, after which a connection is re-established and a leader is considered
-    // lost: three hellos without an answer.
+    // After this time without a message, a connection is re-established and a leader is considered
+    // lost. Three hellos have then got no answer.
     milliseconds silenceTimeout {1'000};
 };
 
--- a/modules/filbert_node/order_router.h
+++ b/modules/filbert_node/order_router.h
@@ -20,12 +20,13 @@
     // about 1 ms of processor time a second; with more of them, its host would have little left for
     // scheduling.
     std::size_t maxDirectTargets = 100;
-    milliseconds relayTimeout {1'000}; // without a hello, after which a relay is lost: three hellos
+    // A relay without a hello for this long, three hellos, is considered lost.
+    milliseconds relayTimeout {1'000};
     // Time for which the orders of a new term wait for the first relay. When a whole cell restarts,
     // entry hosts find the new leader within their hello period; calling that many targets itself
     // would take the leader as long.
     milliseconds relayDiscoveryTimeout {400};
-    // On top of the order's timeout: two hops and an event loop turn each.
+    // Added to the timeout of a relayed order: two hops, with an event loop turn each.
     milliseconds answerGracePeriod {350};
 };
 
--- a/modules/filbert_node/work_controller.h
+++ b/modules/filbert_node/work_controller.h
@@ -21,7 +21,7 @@
     dispatch_settings dispatch;
     membership_settings formation;
     order_router_settings router;
-    // Between requests to join. A leader keeps one for five times as long.
+    // Period of requests to join. A leader keeps a request for five times as long.
     milliseconds joinPeriod {200};
 };
 
@@ -65,7 +65,8 @@
     /** Does what is due by time alone; call it every 10 to 20 ms. */
     void tick(time_point now);
 
-    /** Does what follows from everything since the last flush().
+    /** Schedules, syncs the log once, sends messages, applies committed commands and sends orders,
+        for all that was passed in since the last call.
         @return StorageFailed if the process must stop, else no error
     */
     std::error_code flush(time_point now, std::int64_t wallMs);
--- a/modules/filbert_policy/scheduler.h
+++ b/modules/filbert_policy/scheduler.h
@@ -36,8 +36,8 @@
     double urgentReserveFraction = 0.03; // of a pool's cores and slots, for urgent work only
     std::size_t maxUrgentWaiting = 2'000; // per team
     std::size_t maxJobsWaiting = 50'000; // per team
-    milliseconds gangReservationDelay {2'000}; // a gang waits as long before a reservation
-    milliseconds preemptionDelay {300}; // urgent work waits as long before batch tasks are stopped
+    milliseconds gangReservationDelay {2'000}; // waiting time before a gang reserves
+    milliseconds preemptionDelay {300}; // waiting time before urgent work stops batch tasks
     milliseconds retryBackoff {500}; // after a first failure; doubles with each further one
     milliseconds maxRetryBackoff {60'000};
     milliseconds initialQuarantine {30'000}; // doubles with each further quarantine
@@ -74,7 +74,7 @@
     time_point notBefore; // earliest start, after a failure
     milliseconds runTime; // declared; 0 = unknown
     bool isIdempotent = false;
-    std::uint64_t releaseCountWhenBlocked = 0; // of its pool
+    std::uint64_t releaseCountWhenBlocked = 0; // of its pool, when it was blocked
     bool isBlocked = false; // it did not fit; tried again once the release count has changed
     int failures = 0;
     time_point preemptedAt; // when tasks were last stopped for it
@@ -105,16 +105,16 @@
     resource_amounts used;
     double usageHistory = 0; // exponentially decayed mean of the dominant share
     time_point usageHistoryAt; // when the history was last updated
-    std::array<std::deque<std::uint64_t>, 3> waitingIds; // work ids by class; some no longer wait
-    std::array<std::size_t, 3> waitingCount {}; // work items that do wait, by class
+    std::array<std::deque<std::uint64_t>, 3> waitingIds; // by class; may hold ids of removed work
+    std::array<std::size_t, 3> waitingCount {}; // work items in the queue, by class
 };
 
 /** Availability and recent failures of a target. It outlives the target's removal. */
 struct target_health
 {
-    std::set<std::uint64_t> consecutiveFailures; // ids of what failed since the last success
-    std::uint64_t firstCountablePlacement = 0; // earlier placements do not count as unreachable
-    std::set<std::string> reportingGateways; // could not reach it since the last success
+    std::set<std::uint64_t> consecutiveFailures; // ids of work that failed since the last success
+    std::uint64_t firstCountablePlacement = 0; // reports on earlier placements are ignored
+    std::set<std::string> reportingGateways; // that could not reach it since a success
     time_point quarantinedUntil;
     milliseconds quarantinePeriod; // length of the latest quarantine; 0 = none since a success
     bool isQuarantined = false;
--- a/modules/filbert_replication/log_access.h
+++ b/modules/filbert_replication/log_access.h
@@ -16,8 +16,8 @@
 /** Raises the commit index and adds the newly committed entries to the effects. */
 void commitTo(replicated_log_state &state, std::uint64_t index, replication_effects *effects);
 
-/** The index after which a leader should continue when its previous entry does not match the one
-    held here. Skips all entries of the conflicting term at once. */
+/** @return the index after which the leader should continue if the entry that precedes its append
+    does not match this member's log; skips all entries of the conflicting term at once */
 std::uint64_t conflictHint(const replicated_log_state &state, std::uint64_t index);
 
 /** Replaces the snapshot, and the entries that it covers, by the snapshot that was received
--- a/modules/filbert_replication/log_member.h
+++ b/modules/filbert_replication/log_member.h
@@ -51,7 +51,7 @@
         @param seed       for the random part of election timeouts
         @param store      already open; outlives the member
         @param hooks      called from flush() only, except for restore() of the stored snapshot
-        @param now        of monotonicNow(), which counts the time that the host is suspended
+        @param now        from monotonicNow(), which includes time in which the host is suspended
     */
     log_member(const replication_settings &settings, const snapshot_settings &snapshots,
                const stored_state &stored, std::uint64_t seed, log_store &store,
@@ -87,8 +87,8 @@
     bool isServing(time_point now) const;
 
     /** Whether this member leads and has applied every entry of its log. A committed entry may
-        still wait to be applied: a leader that made decisions before that would not know what
-        runs. */
+        still wait to be applied, and a leader that decided before that would not know all tasks
+        that run. */
     bool hasAppliedAll() const;
 
     /** @return when the last message came from a member, or a zero time if none did */
--- a/modules/filbert_replication/replicated_log.cpp
+++ b/modules/filbert_replication/replicated_log.cpp
@@ -105,8 +105,8 @@
     const bool hasMoved = retryIndex != progress->nextIndex;
     progress->isProbing = true;
     progress->nextIndex = retryIndex;
-    // A reply from a later round than the last rejection answers a probe at this entry; others
-    // answer messages that were sent before.
+    // A reply from a round after that of the last rejection answers a probe at this entry. Other
+    // replies answer messages that were sent before the probe.
     const bool isProbeReply = reply.round() > progress->rejectedRound;
     progress->rejectedRound = state.heartbeatRound;
     if (hasMoved || !isProbeReply) {
--- a/modules/filbert_replication/replicated_log.h
+++ b/modules/filbert_replication/replicated_log.h
@@ -84,7 +84,7 @@
     time_point electionDeadline;
     time_point nextHeartbeatAt;
     time_point lastTickAt; // the last call of tickLog()
-    time_point catchUpUntil; // no election before, so that messages queued in a stall are read
+    time_point catchUpUntil; // no election before: messages queued in a stall come first
     std::optional<time_point> transferDeadline; // set during a leadership transfer
     std::string transferee; // identity of the member that leadership is transferred to
     std::string incomingSnapshot; // the part of a snapshot that was received so far
--- a/modules/filbert_work/work_state.cpp
+++ b/modules/filbert_work/work_state.cpp
@@ -44,7 +44,7 @@
 resource_amounts taskDemand(const messages::step_spec &spec)
 {
     auto demand = amountsOf(spec.need());
-    demand.slots = 0; // a target's slots bound its requests, not its tasks
+    demand.slots = 0; // slots limit a target's requests, not its staged tasks
     return demand;
 }
 
--- a/modules/filbert_work/work_state.h
+++ b/modules/filbert_work/work_state.h
@@ -75,7 +75,7 @@
     // Derived:
     std::set<task_name> runs; // on this incarnation, or on an earlier one of the same id
     resource_amounts used; // reserved by these runs
-    std::int64_t bestEffortCores = 0; // milli-cores of best-effort runs, which are not in used
+    std::int64_t bestEffortCores = 0; // milli-cores of best-effort runs; `used` excludes them
     int latencySensitiveRuns = 0; // runs with a latency target
 };
 
@@ -92,7 +92,7 @@
 
     // Derived:
     std::map<std::string, resource_amounts> teamUsage; // by team, of its running tasks
-    std::map<std::string, std::int64_t> pendingByQueue; // accepted jobs that started no task yet
+    std::map<std::string, std::int64_t> pendingByQueue; // accepted jobs without a started task
 };
 
 /** @return the specification of a step, which must exist in the job */
@@ -132,7 +132,8 @@
     as it was when the job was accepted */
 const messages::work_queue &queueOf(const work_state &state, const work_job &job);
 
-/** @return whether a usage is within a cap @param cap a field of 0 is unlimited */
+/** @return whether a usage is within a cap
+    @param cap  a field of 0 is unlimited */
 bool isWithinCap(const resource_amounts &usage, const messages::resources &cap);
 
 /** Computes all derived members from the stored ones, after a snapshot was read. */
