--- a/extras/dispatch_bench.cpp
+++ b/extras/dispatch_bench.cpp
@@ -165,7 +165,7 @@
         for (int g = 0; g < 30; ++g) {
             registerCaller(cell.leader, "gateway-" + std::to_string(g), 1, cell.now);
         }
-        cell.leader.mayPlaceMore = true;
+        cell.leader.isPassDue = true;
         const auto start = steady::now();
         tickDispatch(cell.leader, cell.now, cell.wallMs);
         const auto elapsed = millisecondsSince(start);
--- a/modules/filbert_dispatch/admission_requests.cpp
+++ b/modules/filbert_dispatch/admission_requests.cpp
@@ -106,7 +106,8 @@
     return free > keptFree ? free - keptFree : 0;
 }
 
-milliseconds admissionTime(const messages::admission_policy &policy, std::size_t targets)
+milliseconds expectedAdmissionDuration(const messages::admission_policy &policy,
+                                       std::size_t targets)
 {
     return {
         std::llround(policy.decide_ms() + policy.per_target_ms() * static_cast<double>(targets))};
@@ -142,7 +143,7 @@
         ++view.pendingRequests;
         auto &pending = state.pendingAdmissions[++state.lastAdmissionId];
         pending.step = step;
-        pending.expectedDuration = admissionTime(queue.admission(), count);
+        pending.expectedDuration = expectedAdmissionDuration(queue.admission(), count);
         pending.targets.assign(first, first + static_cast<std::ptrdiff_t>(count));
         pending.priority = queue.priority();
         pending.requestedAt = now;
@@ -198,7 +199,7 @@
         state.admissions.erase(pending.step); // the job has ended meanwhile
     }
     state.pendingAdmissions.erase(found);
-    state.mayPlaceMore = true;
+    state.isPassDue = true;
 }
 
 void tickAdmissions(dispatch_state &state, time_point now)
--- a/modules/filbert_dispatch/admission_requests.h
+++ b/modules/filbert_dispatch/admission_requests.h
@@ -44,7 +44,8 @@
 std::size_t countSpareCallers(const dispatch_state &state, time_point now);
 
 /** @return the expected duration of a call that names a number of targets */
-milliseconds admissionTime(const messages::admission_policy &policy, std::size_t targets);
+milliseconds expectedAdmissionDuration(const messages::admission_policy &policy,
+                                       std::size_t targets);
 
 /** Whether a start that is decided now can reach its target before the ticket expires. */
 bool isTicketUsable(const dispatch_state &state, const admission_view::ticket &ticket,
--- a/modules/filbert_dispatch/dispatch_state.cpp
+++ b/modules/filbert_dispatch/dispatch_state.cpp
@@ -198,7 +198,7 @@
                             bool refused, time_point now)
 {
     using body = messages::work_command::BodyCase;
-    state.mayPlaceMore = true;
+    state.isPassDue = true;
     switch (command.body_case()) {
     case body::kAccept:
         refreshJob(state, command.accept().id(), now);
@@ -244,10 +244,9 @@
     tickTargets(state, now);
     beginDueOccurrences(state, wallMs);
     removeEndedJobs(state, now, wallMs);
-    const bool isDue =
-        (state.mayPlaceMore && now >= state.earliestPassAt) || now >= state.nextPassAt;
+    const bool isDue = (state.isPassDue && now >= state.earliestPassAt) || now >= state.nextPassAt;
     if (isDue) {
-        state.mayPlaceMore = false;
+        state.isPassDue = false;
         state.nextPassAt = now + state.settings.passPeriod;
         placeWaitingTasks(state, now);
         const auto pause =
--- a/modules/filbert_dispatch/dispatch_state.h
+++ b/modules/filbert_dispatch/dispatch_state.h
@@ -274,7 +274,7 @@
     time_point nextCleanupAt;
     std::set<std::string> changedTargets; // ids of those with new events since the last tick
     time_point nextTargetTickAt; // the next tick of all targets, not only of the changed ones
-    bool mayPlaceMore = true; // the next pass may find something to place
+    bool isPassDue = true; // the next pass may find something to place
     // When the next pass runs even if nothing changes: tickets and quarantines expire.
     time_point nextPassAt;
     // No change causes a pass before this time. It is later after a long pass, as many pending
--- a/modules/filbert_dispatch/order_answers.cpp
+++ b/modules/filbert_dispatch/order_answers.cpp
@@ -291,7 +291,7 @@
         }
         target.lastContactAt = now;
         target.lastAnswerAt = now;
-        state.mayPlaceMore = state.mayPlaceMore || target.isSuspect;
+        state.isPassDue = state.isPassDue || target.isSuspect;
         target.isSuspect = false;
     } else if (isOutcomeKnown) {
         handleMissingAnswer(state, target, order, answer.result, now);
--- a/modules/filbert_dispatch/step_order.cpp
+++ b/modules/filbert_dispatch/step_order.cpp
@@ -126,7 +126,7 @@
             }
         }
     }
-    state.mayPlaceMore = true;
+    state.isPassDue = true;
 }
 
 } // namespace filbert
--- a/modules/filbert_dispatch/target_orders.cpp
+++ b/modules/filbert_dispatch/target_orders.cpp
@@ -136,7 +136,7 @@
         std::clamp(doubled, state.settings.initialQuarantine, state.settings.maxQuarantine);
     target.quarantinedUntil = now + target.quarantinePeriod;
     target.failedJobs.clear();
-    state.mayPlaceMore = true;
+    state.isPassDue = true;
     log_line {"target_avoided", log_line::severity::Warning}
         .with("target", target.id)
         .with("reason", reason)
--- a/modules/filbert_dispatch/ticket_requests.cpp
+++ b/modules/filbert_dispatch/ticket_requests.cpp
@@ -134,7 +134,7 @@
         });
     if (!furtherTargets.empty()) {
         requestAdmissionFor(pass, step, furtherTargets);
-    } else if (admissionTime(policy, 1) >= slowAdmissionTime && !hasUsableTicket) {
+    } else if (expectedAdmissionDuration(policy, 1) >= slowAdmissionTime && !hasUsableTicket) {
         requestAdmissionFor(pass, step, targetsToRequest(pass, step, service, view, true));
     }
     view.nextRequestAt = pass.now + requestDelay;
@@ -143,7 +143,8 @@
 void prefetchTickets(placement_pass &pass, const pending_step &step)
 {
     const bool isQuick = step.queue->has_admission()
-        && admissionTime(step.queue->admission(), targetsPerRequest) <= maxQuickAdmissionTime;
+        && expectedAdmissionDuration(step.queue->admission(), targetsPerRequest)
+            <= maxQuickAdmissionTime;
     if (!isQuick) {
         return;
     }
--- a/modules/filbert_policy/placement_pass.cpp
+++ b/modules/filbert_policy/placement_pass.cpp
@@ -132,9 +132,9 @@
 /** Whether a target belongs to a pool that is reserved for a gang. */
 bool isReservedForGang(const scheduler_state &state, const target_entry &target)
 {
-    return !state.poolReservations.empty()
+    return !state.reservingGangByService.empty()
         && std::any_of(target.services.begin(), target.services.end(), [&](const auto &service) {
-               return state.poolReservations.contains(service);
+               return state.reservingGangByService.contains(service);
            });
 }
 
@@ -220,7 +220,7 @@
     for (const auto number : chosen) {
         setReservation(state.index, number, item.workId);
     }
-    state.targetReservations[item.workId] = std::move(chosen);
+    state.reservedTargetsByGang[item.workId] = std::move(chosen);
 }
 
 /** Makes a reservation for a gang that has waited long enough, so that other batch work does not
@@ -234,15 +234,15 @@
 {
     if (!canShareTargets(state, item)) {
         reserveTargets(state, item, now);
-    } else if (!state.poolReservations.contains(item.service)) {
-        state.poolReservations[item.service] = item.workId;
+    } else if (!state.reservingGangByService.contains(item.service)) {
+        state.reservingGangByService[item.service] = item.workId;
     }
 }
 
 /** Ends the reservation of a pool for a gang, if there is one. */
 void releasePool(scheduler_state &state, std::uint64_t workId)
 {
-    const auto ended = std::erase_if(state.poolReservations, [&](const auto &reservation) {
+    const auto ended = std::erase_if(state.reservingGangByService, [&](const auto &reservation) {
         return reservation.second == workId;
     });
     if (ended > 0) {
@@ -271,8 +271,8 @@
 */
 bool placeGang(scheduler_state &state, work_item &item, time_point now, schedule_result *result)
 {
-    const auto reserved = state.targetReservations.find(item.workId);
-    if (reserved != state.targetReservations.end()) {
+    const auto reserved = state.reservedTargetsByGang.find(item.workId);
+    if (reserved != state.reservedTargetsByGang.end()) {
         for (const auto number : reserved->second) {
             setReservation(state.index, number, 0);
         }
@@ -294,7 +294,7 @@
         undoUsage(state.index, number, item.service, item.need);
     }
     if (chosen.size() < item.tasks.size()) {
-        if (reserved != state.targetReservations.end()) {
+        if (reserved != state.reservedTargetsByGang.end()) {
             for (const auto number : reserved->second) {
                 setReservation(state.index, number, item.workId);
             }
@@ -304,7 +304,7 @@
         }
         return false;
     }
-    state.targetReservations.erase(item.workId);
+    state.reservedTargetsByGang.erase(item.workId);
     releasePool(state, item.workId);
     for (std::size_t i = 0; i < chosen.size(); ++i) {
         startTask(state, item, item.tasks[i], chosen[i], now, result);
@@ -322,8 +322,8 @@
     }
     const bool mayReserve = item.kind == work_class::Gang && usesWorkClasses(state)
         && now - item.waitingSince >= state.settings.gangReservationDelay
-        && !state.targetReservations.contains(item.workId)
-        && !state.poolReservations.contains(item.service);
+        && !state.reservedTargetsByGang.contains(item.workId)
+        && !state.reservingGangByService.contains(item.service);
     const bool mayPreempt = item.kind == work_class::Urgent && usesWorkClasses(state)
         && now - item.waitingSince >= state.settings.preemptionDelay;
     return !item.isBlocked || mayReserve || mayPreempt
@@ -484,14 +484,14 @@
 void releaseReservation(scheduler_state &state, std::uint64_t workId)
 {
     releasePool(state, workId);
-    const auto found = state.targetReservations.find(workId);
-    if (found == state.targetReservations.end()) {
+    const auto found = state.reservedTargetsByGang.find(workId);
+    if (found == state.reservedTargetsByGang.end()) {
         return;
     }
     for (const auto number : found->second) {
         setReservation(state.index, number, 0);
     }
-    state.targetReservations.erase(found);
+    state.reservedTargetsByGang.erase(found);
 }
 
 void releaseReservationOn(scheduler_state &state, std::uint32_t target)
--- a/modules/filbert_policy/scheduler.cpp
+++ b/modules/filbert_policy/scheduler.cpp
@@ -375,10 +375,10 @@
     } else if (item.notBefore > now) {
         reason.text = "a task failed; the next attempt is in "
             + std::to_string((item.notBefore - now).count) + " ms";
-    } else if (state.targetReservations.contains(workId)) {
+    } else if (state.reservedTargetsByGang.contains(workId)) {
         reason.text = "targets are reserved for it and are being drained";
-    } else if (const auto reservation = state.poolReservations.find(item.service);
-               reservation != state.poolReservations.end() && reservation->second == workId) {
+    } else if (const auto reservation = state.reservingGangByService.find(item.service);
+               reservation != state.reservingGangByService.end() && reservation->second == workId) {
         reason.text =
             "the targets of its service are reserved for it until enough capacity is free";
     } else if (item.kind == work_class::Gang) {
--- a/modules/filbert_policy/scheduler.h
+++ b/modules/filbert_policy/scheduler.h
@@ -150,8 +150,8 @@
     std::map<std::string, target_health> health; // by target name
     std::unordered_map<std::string, usage_estimate> usageEstimates; // see estimateKey()
     std::set<std::string> urgentServices;
-    std::map<std::uint64_t, std::vector<std::uint32_t>> targetReservations; // targets by gang
-    std::map<std::string, std::uint64_t> poolReservations; // gangs by service
+    std::map<std::uint64_t, std::vector<std::uint32_t>> reservedTargetsByGang; // targets by gang
+    std::map<std::string, std::uint64_t> reservingGangByService; // gangs by service
     std::uint64_t nextPlacementId = 1;
     std::multimap<time_point, std::uint64_t> startDeadlines; // of urgent work
 };
